--- a/packages/valeweir_sharing/src/valeweir_sharing/estimates.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/estimates.py
@@ -1,7 +1,7 @@
 """Estimates of a request's cost, learned per account, pool and class."""
 
-_MEMORY = 0.1
-_FIRST_GUESS = 100.0
+_EWMA_ALPHA = 0.1
+_DEFAULT_COST = 100.0
 
 
 class Estimates:
@@ -15,10 +15,10 @@
         for key in ((pool, account, work_class), (pool, work_class), (pool,)):
             if key in self._means:
                 return self._means[key]
-        return _FIRST_GUESS
+        return _DEFAULT_COST
 
     def learn(self, pool, account, work_class, cost):
         """Take in a real cost."""
         for key in ((pool, account, work_class), (pool, work_class), (pool,)):
-            old = self._means.get(key, cost)
-            self._means[key] = old + _MEMORY * (cost - old)
+            mean = self._means.get(key, cost)
+            self._means[key] = mean + _EWMA_ALPHA * (cost - mean)
--- a/packages/valeweir_sharing/src/valeweir_sharing/health.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/health.py
@@ -1,19 +1,19 @@
 """Setting upstreams aside after errors, and their slow return."""
 
-_ERRORS_TO_EJECT = 3
-_FIRST_PAUSE = 2.0
-_MAX_PAUSE = 60.0
+_EJECTION_ERROR_COUNT = 3
+_MIN_PAUSE_S = 2.0
+_MAX_PAUSE_S = 60.0
 
 
-class Condition:
+class EjectionState:
     """How one upstream has done lately, seen from this router."""
 
-    __slots__ = ("errors", "pause", "probing", "until")
+    __slots__ = ("ejected_until", "error_count", "next_pause_s", "probing")
 
     def __init__(self):
-        self.errors = 0
-        self.pause = _FIRST_PAUSE
-        self.until = 0.0
+        self.error_count = 0
+        self.next_pause_s = _MIN_PAUSE_S
+        self.ejected_until = 0.0
         self.probing = False
 
 
@@ -27,51 +27,51 @@
 
     def __init__(self, rng):
         self._rng = rng
-        self._conditions = {}
+        self._states = {}
 
     def note_success(self, upstream):
         """Take in a whole answer; return whether it ended an ejection."""
-        cond = self._conditions.get(upstream)
-        if cond is None:
+        state = self._states.get(upstream)
+        if state is None:
             return False
-        ended = cond.until > 0
-        del self._conditions[upstream]
+        ended = state.ejected_until > 0
+        del self._states[upstream]
         return ended
 
     def note_error(self, upstream, now):
         """Take in a failure; return the pause in seconds if it ejects, or None."""
-        cond = self._conditions.setdefault(upstream, Condition())
-        cond.errors += 1
-        if cond.errors < _ERRORS_TO_EJECT and not cond.probing:
+        state = self._states.setdefault(upstream, EjectionState())
+        state.error_count += 1
+        if state.error_count < _EJECTION_ERROR_COUNT and not state.probing:
             return None
-        if now < cond.until:
+        if now < state.ejected_until:
             return None
-        pause = cond.pause * self._rng.uniform(0.75, 1.25)
-        cond.until = now + pause
-        cond.pause = min(cond.pause * 2, _MAX_PAUSE)
-        cond.probing = False
+        pause = state.next_pause_s * self._rng.uniform(0.75, 1.25)
+        state.ejected_until = now + pause
+        state.next_pause_s = min(state.next_pause_s * 2, _MAX_PAUSE_S)
+        state.probing = False
         return pause
 
     def is_usable(self, upstream, now):
         """Return whether a request may go there now."""
-        cond = self._conditions.get(upstream)
-        if cond is None or cond.until == 0:
+        state = self._states.get(upstream)
+        if state is None or state.ejected_until == 0:
             return True
-        return now >= cond.until and not cond.probing
+        return now >= state.ejected_until and not state.probing
 
     def is_ejected(self, upstream, now):
         """Return whether the upstream is within its pause."""
-        cond = self._conditions.get(upstream)
-        return cond is not None and now < cond.until
+        state = self._states.get(upstream)
+        return state is not None and now < state.ejected_until
 
     def note_dispatch(self, upstream):
         """Note a request sent; the first one after a pause is the probe."""
-        cond = self._conditions.get(upstream)
-        if cond is not None and cond.until > 0:
-            cond.probing = True
+        state = self._states.get(upstream)
+        if state is not None and state.ejected_until > 0:
+            state.probing = True
 
     def note_released(self, upstream):
         """Note a probe that ended without telling anything."""
-        cond = self._conditions.get(upstream)
-        if cond is not None:
-            cond.probing = False
+        state = self._states.get(upstream)
+        if state is not None:
+            state.probing = False
--- a/packages/valeweir_sharing/src/valeweir_sharing/ownership.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/ownership.py
@@ -17,11 +17,11 @@
     about `GROUP_SIZE`, so that one owner sees enough slots to decide well.
     The number of groups is a power of two, so that it seldom changes.
     """
-    groups = 1
-    while groups * GROUP_SIZE < pool_size:
-        groups *= 2
-    number = _hash(upstream) % groups
-    return f"{pool}/{domain}/{number}"
+    group_count = 1
+    while group_count * GROUP_SIZE < pool_size:
+        group_count *= 2
+    group_index = _hash(upstream) % group_count
+    return f"{pool}/{domain}/{group_index}"
 
 
 def choose_owner(group, candidates):
@@ -32,10 +32,10 @@
     candidates : iterable of str
         Names of hosts that are heard from and not leaving.
     """
-    ranked = sorted(candidates)
-    if not ranked:
+    hosts = sorted(candidates)
+    if not hosts:
         return None
-    return max(ranked, key=lambda host: _hash(f"{group}|{host}"))
+    return max(hosts, key=lambda host: _hash(f"{group}|{host}"))
 
 
 def get_candidates(domain, members):
@@ -48,7 +48,7 @@
     members : iterable of (host, domain)
     """
     members = list(members)
-    local = [host for host, where in members if where == domain]
+    local = [host for host, host_domain in members if host_domain == domain]
     return local or [host for host, _ in members]
 
 
--- a/packages/valeweir_sharing/src/valeweir_sharing/pace.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/pace.py
@@ -1,11 +1,11 @@
 """How often a router reports, so that control traffic keeps to its budget."""
 
-_STRETCH = 1.15
-_SHRINK = 0.95
-_COMFORT = 0.8
-_MEMORY = 0.3
-_MAX_PRESSURE = 8.0
-INTERVALS_IN_LEASE = 6
+_LENGTHEN_FACTOR = 1.15
+_SHORTEN_FACTOR = 0.95
+_SHORTEN_BELOW_RATIO = 0.8
+_EWMA_ALPHA = 0.3
+_MAX_PRESSURE_FACTOR = 8.0
+MIN_INTERVALS_PER_LEASE = 6
 
 
 class Pace:
@@ -26,11 +26,13 @@
     """
 
     def __init__(self, cfg):
-        self._shortest = cfg["interval"]
-        self._longest = max(cfg["interval"], cfg["lease"] / INTERVALS_IN_LEASE)
+        self._min_interval = cfg["interval"]
+        self._max_interval = max(
+            cfg["interval"], cfg["lease"] / MIN_INTERVALS_PER_LEASE
+        )
         self._budget = cfg["byte_budget"]
-        self._interval = self._shortest
-        self._last = None
+        self._interval = self._min_interval
+        self._last_sample = None
         self._rate = 0.0
         self.pressure = 1.0
 
@@ -40,24 +42,24 @@
 
     def note(self, sent_bytes, now):
         """Take in the bytes sent since the start, and adapt."""
-        last, self._last = self._last, (sent_bytes, now)
-        if last is None or now <= last[1] or sent_bytes < last[0]:
+        last_sample, self._last_sample = self._last_sample, (sent_bytes, now)
+        if last_sample is None or now <= last_sample[1] or sent_bytes < last_sample[0]:
             return
-        rate = (sent_bytes - last[0]) / (now - last[1])
-        self._rate += _MEMORY * (rate - self._rate)
+        rate = (sent_bytes - last_sample[0]) / (now - last_sample[1])
+        self._rate += _EWMA_ALPHA * (rate - self._rate)
         if self._rate > self._budget:
-            self._save()
-        elif self._rate < _COMFORT * self._budget:
-            self._relax()
+            self._reduce_rate()
+        elif self._rate < _SHORTEN_BELOW_RATIO * self._budget:
+            self._raise_rate()
 
-    def _save(self):
-        if self._interval < self._longest:
-            self._interval = min(self._interval * _STRETCH, self._longest)
+    def _reduce_rate(self):
+        if self._interval < self._max_interval:
+            self._interval = min(self._interval * _LENGTHEN_FACTOR, self._max_interval)
         else:
-            self.pressure = min(self.pressure * _STRETCH, _MAX_PRESSURE)
+            self.pressure = min(self.pressure * _LENGTHEN_FACTOR, _MAX_PRESSURE_FACTOR)
 
-    def _relax(self):
+    def _raise_rate(self):
         if self.pressure > 1.0:
-            self.pressure = max(self.pressure * _SHRINK, 1.0)
+            self.pressure = max(self.pressure * _SHORTEN_FACTOR, 1.0)
         else:
-            self._interval = max(self._interval * _SHRINK, self._shortest)
+            self._interval = max(self._interval * _SHORTEN_FACTOR, self._min_interval)
