--- a/packages/valeweir_sharing/src/valeweir_sharing/grants.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/grants.py
@@ -13,7 +13,7 @@
     count: int
 
 
-class Gift(NamedTuple):
+class SlotAssignment(NamedTuple):
     """One slot of ``upstream`` for ``holder``; ``account`` is None for a float."""
 
     holder: str
@@ -21,7 +21,7 @@
     account: str | None
 
 
-def plan_gifts(pool, free, wants, ledger, prefer, rng, dry=()):
+def plan_gifts(pool, free, demands, ledger, select_upstream, rng, starved=()):
     """Divide free slots, one at a time, to the least-served waiting accounts.
 
     Parameters
@@ -30,7 +30,7 @@
         Slots to give; changed in place.
     wants : list of Want
     prefer : callable
-        ``prefer(holder, upstreams)`` returns the upstream to give, or None
+        ``select_upstream(holder, upstreams)`` returns the upstream to give, or None
         where the holder can use none of them.
     rng : random.Random
         Chooses among the routers where an account waits, in proportion to the
@@ -44,34 +44,36 @@
     list of Gift
         Each is charged to the ledger as pending at its holder.
     """
-    demand = {}
-    for want in wants:
-        demand.setdefault(want.account, {})[want.holder] = want.count
-    gifts = []
-    unit = ledger.get_unit(pool)
-    dry = [want for want in wants if want.holder in dry]
-    while demand:
-        open_upstreams = [u for u, count in free.items() if count > 0]
-        if not open_upstreams:
+    holders_by_account = {}
+    for demand in demands:
+        holders_by_account.setdefault(demand.account, {})[demand.holder] = demand.count
+    assignments = []
+    mean_charge = ledger.get_unit(pool)
+    starved = [demand for demand in demands if demand.holder in starved]
+    while holders_by_account:
+        free_upstreams = [u for u, count in free.items() if count > 0]
+        if not free_upstreams:
             break
-        among = [want.account for want in dry] or demand
-        account = min(among, key=lambda a: (ledger.get_virtual(Key(pool, a)), a))
-        holders = demand[account]
-        waiting_dry = [w.holder for w in dry if w.account == account]
-        names = sorted(waiting_dry or holders)
+        eligible_accounts = [demand.account for demand in starved] or holders_by_account
+        account = min(
+            eligible_accounts, key=lambda a: (ledger.get_virtual(Key(pool, a)), a)
+        )
+        holders = holders_by_account[account]
+        starved_holders = [w.holder for w in starved if w.account == account]
+        names = sorted(starved_holders or holders)
         (holder,) = rng.choices(names, [holders[name] for name in names])
-        dry = [want for want in dry if want.holder != holder]
-        upstream = prefer(holder, open_upstreams)
+        starved = [demand for demand in starved if demand.holder != holder]
+        upstream = select_upstream(holder, free_upstreams)
         if upstream is None:
-            _drop(demand, account, holder)
+            _drop(holders_by_account, account, holder)
             continue
         free[upstream] -= 1
-        gifts.append(Gift(holder, upstream, account))
-        ledger.add_pending(holder, Key(pool, account), unit)
+        assignments.append(SlotAssignment(holder, upstream, account))
+        ledger.add_pending(holder, Key(pool, account), mean_charge)
         holders[holder] -= 1
         if holders[holder] <= 0:
-            _drop(demand, account, holder)
-    return gifts
+            _drop(holders_by_account, account, holder)
+    return assignments
 
 
 def plan_floats(free, held, limit):
@@ -84,16 +86,16 @@
     held : dict of holder to int
         Slots each holder has free already, over all upstreams of the pool.
     """
-    gifts = []
+    assignments = []
     for upstream in free:
         while free[upstream] > 0 and held:
             holder = min(held, key=lambda h: (held[h], h))
             if held[holder] >= limit:
-                return gifts
+                return assignments
             free[upstream] -= 1
             held[holder] += 1
-            gifts.append(Gift(holder, upstream, None))
-    return gifts
+            assignments.append(SlotAssignment(holder, upstream, None))
+    return assignments
 
 
 def should_hand_back(local_least, elsewhere_least, slack):
@@ -113,7 +115,7 @@
     return local_least > elsewhere_least + slack
 
 
-def _drop(demand, account, holder):
-    del demand[account][holder]
-    if not demand[account]:
-        del demand[account]
+def _drop(holders_by_account, account, holder):
+    del holders_by_account[account][holder]
+    if not holders_by_account[account]:
+        del holders_by_account[account]
--- a/packages/valeweir_sharing/src/valeweir_sharing/keys.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/keys.py
@@ -1,6 +1,6 @@
 """Idempotency keys: a call that may not be repeated is sent once per key.
 
-Each key has `HOLDERS` holders, chosen by rendezvous hashing over all members,
+Each key has `HOLDER_COUNT` holders, chosen by rendezvous hashing over all members,
 reachable or not. A router sends a keyed call only after a majority of them
 has recorded its claim; two majorities share a holder, so a second claim of the
 key is always seen, also across a cut. Holders keep claims in memory only.
@@ -11,24 +11,24 @@
 
 import xxhash
 
-HOLDERS = 3
-RETENTION = 300.0
+HOLDER_COUNT = 3
+RETENTION_S = 300.0
 
 
 class Claimed(StrEnum):
     """What a holder says to a claim."""
 
     GRANTED = "granted"
-    KNOWN = "known"
-    YOUNG = "young"
+    DUPLICATE = "known"
+    INCOMPLETE = "young"
 
 
-class Record(NamedTuple):
+class ClaimRecord(NamedTuple):
     """A claim of a key: the request that has it, and since when."""
 
     key: bytes
     request: int
-    at: float
+    recorded_at: float
 
 
 class KeyTable:
@@ -52,9 +52,9 @@
         """
         record = self.records.get(key)
         if record is not None and record.request != request:
-            return Claimed.KNOWN
-        self.records[key] = Record(key, request, now)
-        return Claimed.GRANTED if self.complete else Claimed.YOUNG
+            return Claimed.DUPLICATE
+        self.records[key] = ClaimRecord(key, request, now)
+        return Claimed.GRANTED if self.complete else Claimed.INCOMPLETE
 
     def release(self, key, request):
         """Forget a claim whose call was certainly not run."""
@@ -65,27 +65,29 @@
     def merge(self, rows, now):
         """Take in claims of another holder: ``(key, request, age)``."""
         for key, request, age in rows:
-            self.records.setdefault(key, Record(key, request, now - age))
+            self.records.setdefault(key, ClaimRecord(key, request, now - age))
 
     def get_rows(self, now):
         """Return all claims as ``(key, request, age)``."""
-        return [(r.key, r.request, now - r.at) for r in self.records.values()]
+        return [(r.key, r.request, now - r.recorded_at) for r in self.records.values()]
 
     def expire(self, now):
-        """Drop claims older than `RETENTION`."""
-        limit = now - RETENTION
-        old = [key for key, record in self.records.items() if record.at < limit]
-        for key in old:
+        """Drop claims older than `RETENTION_S`."""
+        cutoff = now - RETENTION_S
+        expired = [
+            key for key, record in self.records.items() if record.recorded_at < cutoff
+        ]
+        for key in expired:
             del self.records[key]
 
 
 def get_holders(key, members):
     """Return the hosts that hold a key."""
     ranked = sorted(members, key=lambda h: (_hash(key + h.encode()), h), reverse=True)
-    return ranked[:HOLDERS]
+    return ranked[:HOLDER_COUNT]
 
 
-def judge_claim(answers, holders):
+def judge_claim(answers, holder_count):
     """Return True to send, False to refuse, None while answers are missing.
 
     Parameters
@@ -94,11 +96,11 @@
     holders : int
         Number of holders of the key.
     """
-    values = list(answers.values())
-    if Claimed.KNOWN in values:
+    statuses = list(answers.values())
+    if Claimed.DUPLICATE in statuses:
         return False
-    majority = holders // 2 + 1
-    if values.count(Claimed.GRANTED) >= majority:
+    majority = holder_count // 2 + 1
+    if statuses.count(Claimed.GRANTED) >= majority:
         return True
     return None
 
--- a/packages/valeweir_sharing/src/valeweir_sharing/queues.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/queues.py
@@ -11,12 +11,12 @@
 class OrderSettings(NamedTuple):
     """How classes weigh against fair shares.
 
-    ``bonus`` is how far, in mean requests, the most urgent class may run
+    ``class_bonus`` is how far, in mean requests, the most urgent class may run
     ahead of its account's turn; ``aging`` is the time in seconds after which
     any request has the full bonus.
     """
 
-    bonus: float
+    class_bonus: float
     aging: float
 
 
@@ -46,10 +46,10 @@
         if not queue or ticket not in queue:
             return False
         queue.remove(ticket)
-        self._drop_empty(ticket, classes, queue)
+        self._finish_removal(ticket, classes, queue)
         return True
 
-    def _drop_empty(self, ticket, classes, queue):
+    def _finish_removal(self, ticket, classes, queue):
         self.size -= 1
         if not queue:
             del classes[ticket.work_class]
@@ -68,19 +68,19 @@
     """Return the ticket to dispatch next, or None; it stays queued.
 
     The account with the least virtual service goes first, except that an
-    urgent or aged request counts as up to ``order.bonus`` mean requests
+    urgent or aged request counts as up to ``order.class_bonus`` mean requests
     earlier. So the classes move the gap between accounts by a bounded amount,
     and every request reaches the full bonus in time: none starves.
     """
     best = None
     best_score = None
-    full = order.bonus * ledger.get_unit(pool)
+    max_bonus = order.class_bonus * ledger.get_unit(pool)
     for account, classes in queue.accounts.items():
         virtual = ledger.get_virtual(Key(pool, account))
         for work_class, tickets in classes.items():
             head = tickets[0]
             urgency = get_urgency(work_class, now - head.arrived, order.aging)
-            score = (virtual - full * urgency, head.arrived)
+            score = (virtual - max_bonus * urgency, head.arrived)
             if best is None or score < best_score:
                 best, best_score = head, score
     return best
@@ -88,6 +88,6 @@
 
 def get_urgency(work_class, age, aging):
     """Return the share of the full bonus, 0 to 1, that a request has."""
-    steps = max(CLASS_PRIORITY.values())
-    by_class = 1.0 - CLASS_PRIORITY[work_class] / steps
-    return max(by_class, min(age / aging, 1.0))
+    max_priority = max(CLASS_PRIORITY.values())
+    class_urgency = 1.0 - CLASS_PRIORITY[work_class] / max_priority
+    return max(class_urgency, min(age / aging, 1.0))
