--- a/packages/valeweir_sharing/src/valeweir_sharing/accounts.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/accounts.py
@@ -9,10 +9,10 @@
 that no credit is saved up while idle.
 """
 
-from .figures import History, Key, Report, Source, Usage, set_count
+from .figures import History, Key, Report, SourceState, Usage, set_count
 
 # How far below the front, in mean requests, an account may enter.
-_ENTRY_ALLOWANCE = 4.0
+_ENTRY_ALLOWANCE_REQUESTS = 4.0
 
 
 class Ledger:
@@ -38,12 +38,12 @@
         self.base = {}
         self.lifts = {}
         self.fronts = {}
-        self.units = {}
+        self.mean_charges = {}
         self.elsewhere = {}
         self.dirty = set()
         self.regressions = 0
         self._own_waiting = {}
-        self._others = {}
+        self._others_service = {}
         self._pending = {}
         self._pending_sum = {}
 
@@ -56,7 +56,7 @@
 
     def get_unit(self, pool):
         """Return the mean charge of a request of ``pool``, in cost per weight."""
-        return self.units.get(pool, 1.0)
+        return self.mean_charges.get(pool, 1.0)
 
     def get_own_waiting(self, pool):
         """Return {account: requests waiting at this router}."""
@@ -90,7 +90,7 @@
         usage = self._get_usage(key)
         if delta > 0 and not usage.waiting and self.complete:
             if not self.elsewhere.get(key.pool, {}).get(key.account):
-                self._lift_entrant(key)
+                self._lift_newly_waiting(key)
         usage.waiting += delta
         set_count(self._own_waiting, key, usage.waiting)
         self.dirty.add(key)
@@ -100,8 +100,8 @@
         before = self.get_virtual(key)
         front = self.fronts.get(key.pool, 0.0)
         self.fronts[key.pool] = max(front, before)
-        unit = self.units.get(key.pool, estimate)
-        self.units[key.pool] = unit + 0.05 * (estimate - unit)
+        mean_charge = self.mean_charges.get(key.pool, estimate)
+        self.mean_charges[key.pool] = mean_charge + 0.05 * (estimate - mean_charge)
         self._get_usage(key).inflight += estimate
         self.dirty.add(key)
 
@@ -152,10 +152,10 @@
             return 0
         virtual = {a: self.get_virtual(Key(pool, a)) for a in waiting}
         least_allowed = max(virtual.values()) - bound
-        low = [a for a, value in virtual.items() if value < least_allowed]
-        for account in low:
+        lifted = [a for a, value in virtual.items() if value < least_allowed]
+        for account in lifted:
             self._raise_lift(Key(pool, account), least_allowed - virtual[account])
-        return len(low)
+        return len(lifted)
 
     # -- merging ---------------------------------------------------------
 
@@ -166,13 +166,13 @@
         """
         if source in self.retired:
             return False
-        state = self.sources.setdefault(source, Source())
+        state = self.sources.setdefault(source, SourceState())
         if seq <= state.seq:
             return False
         state.seq = seq
         self.set_live(source, True)
         self.clear_pending(source)
-        self._restore_demand(state)
+        self._restore_deducted(state)
         for key, report in reports:
             self._merge_report(state, key, report)
         for pool, front in fronts:
@@ -181,8 +181,8 @@
 
     def merge_waiting(self, source, pool, waiting):
         """Replace what waits at ``source`` in ``pool``; {account: count}."""
-        state = self.sources.setdefault(source, Source())
-        self._restore_demand(state)
+        state = self.sources.setdefault(source, SourceState())
+        self._restore_deducted(state)
         for account in set(state.waiting.get(pool, ())) | set(waiting):
             key = Key(pool, account)
             old = state.reports.get(key, Report(0.0, 0.0, 0.0, 0))
@@ -202,7 +202,7 @@
         report = state.reports.get(key) if state else None
         if report is None or report.waiting <= 0:
             return
-        state.given[key] = state.given.get(key, 0) + 1
+        state.deducted[key] = state.deducted.get(key, 0) + 1
         self._change_waiting(state, key, -1)
 
     def get_demand(self, source, pool):
@@ -222,7 +222,7 @@
         self.clear_pending(source)
         for key, report in state.reports.items():
             self._add_elsewhere(key, sign * report.waiting)
-            self._add_other(key, sign * report.inflight)
+            self._add_others_service(key, sign * report.inflight)
 
     def retire(self, source, now):
         """Fold a dead incarnation's settled service into the common base.
@@ -238,7 +238,7 @@
         self.retired[source] = now
         for key, report in state.reports.items():
             self.base[key] = self.base.get(key, 0.0) + report.settled
-            self._add_other(key, -report.settled)
+            self._add_others_service(key, -report.settled)
 
     def forget_retired(self, before):
         """Drop names retired earlier than ``before``."""
@@ -263,7 +263,9 @@
         for source in history.retired:
             state = self.sources.pop(source, None)
             for key, report in state.reports.items() if state else ():
-                self._add_other(key, -report.settled - state.live * report.inflight)
+                self._add_others_service(
+                    key, -report.settled - state.live * report.inflight
+                )
                 self._add_elsewhere(key, -state.live * report.waiting)
         self.base = dict(history.base)
         self.retired = dict.fromkeys(history.retired, now)
@@ -278,9 +280,9 @@
 
     # -- details -----------------------------------------------------------
 
-    def _restore_demand(self, state):
-        given, state.given = state.given, {}
-        for key, count in given.items():
+    def _restore_deducted(self, state):
+        deducted, state.deducted = state.deducted, {}
+        for key, count in deducted.items():
             self._change_waiting(state, key, count)
 
     def _change_waiting(self, state, key, delta):
@@ -297,27 +299,27 @@
         return usage
 
     def _get_service(self, key):
-        total = self.base.get(key, 0.0) + self._others.get(key, 0.0)
+        total = self.base.get(key, 0.0) + self._others_service.get(key, 0.0)
         usage = self.own.get(key)
         if usage is not None:
             total += usage.settled + usage.inflight
         return total
 
-    def _lift_entrant(self, key):
+    def _lift_newly_waiting(self, key):
         waiting = self.get_waiting(key.pool)
         waiting.pop(key.account, None)
         front = self.fronts.get(key.pool, 0.0)
         floor = front
         if waiting:
-            served = sorted(self.get_virtual(Key(key.pool, a)) for a in waiting)
+            services = sorted(self.get_virtual(Key(key.pool, a)) for a in waiting)
             # The least may be other entrants whose lift is not known here yet,
             # the front one account that ran ahead; neither moves a quartile.
-            quartile = served[len(served) * 3 // 4]
-            allowance = _ENTRY_ALLOWANCE * self.get_unit(key.pool)
-            floor = max(served[0], min(quartile, front) - allowance)
-        missing = floor - self.get_virtual(key)
-        if missing > 0:
-            self._raise_lift(key, missing)
+            quartile = services[len(services) * 3 // 4]
+            allowance = _ENTRY_ALLOWANCE_REQUESTS * self.get_unit(key.pool)
+            floor = max(services[0], min(quartile, front) - allowance)
+        deficit = floor - self.get_virtual(key)
+        if deficit > 0:
+            self._raise_lift(key, deficit)
 
     def _raise_lift(self, key, amount):
         self.lifts[key] = self.lifts.get(key, 0.0) + amount
@@ -329,7 +331,7 @@
         if report.settled < old.settled:
             self.regressions += 1
             report = report._replace(settled=old.settled)
-        self._add_other(
+        self._add_others_service(
             key, report.settled - old.settled + report.inflight - old.inflight
         )
         self._add_elsewhere(key, report.waiting - old.waiting)
@@ -338,9 +340,9 @@
         if report.lift > self.lifts.get(key, 0.0):
             self.lifts[key] = report.lift
 
-    def _add_other(self, key, amount):
+    def _add_others_service(self, key, amount):
         if amount:
-            self._others[key] = self._others.get(key, 0.0) + amount
+            self._others_service[key] = self._others_service.get(key, 0.0) + amount
 
     def _add_elsewhere(self, key, amount):
         if amount:
--- a/packages/valeweir_sharing/src/valeweir_sharing/figures.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/figures.py
@@ -47,10 +47,10 @@
         self.waiting = 0
 
 
-class Source:
+class SourceState:
     """What another incarnation reported last."""
 
-    __slots__ = ("given", "live", "reports", "seq", "waiting")
+    __slots__ = ("deducted", "live", "reports", "seq", "waiting")
 
     def __init__(self):
         self.seq = -1
@@ -59,7 +59,7 @@
         # {pool: {account: requests}}, for the demand that owners ask for.
         self.waiting = {}
         # Requests that slots were given for since the last report.
-        self.given = {}
+        self.deducted = {}
 
     def set_waiting(self, key, count):
         """Note how many requests of ``key`` wait there."""
--- a/packages/valeweir_sharing/src/valeweir_sharing/leases.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/leases.py
@@ -84,12 +84,12 @@
     def merge_grant(self, owner, grant):
         """Take in a grant; return the number of slots gained."""
         held = self.held.setdefault(grant.upstream, Held())
-        known = (held.epoch, held.lease)
+        current = (held.epoch, held.lease)
         offered = (grant.epoch, grant.lease)
-        if offered < known:
+        if offered < current:
             return 0
         before = held.slots
-        if offered > known:
+        if offered > current:
             held.owner = owner
             held.epoch, held.lease = offered
             held.granted = grant.granted
@@ -150,7 +150,7 @@
         )
 
 
-class Entry:
+class TableEntry:
     """The owner's record of one holder of one upstream."""
 
     __slots__ = ("granted", "idle", "lease", "refused", "returned", "seen", "used")
@@ -189,8 +189,8 @@
         self.epoch = epoch
         self.settled_at = settled_at
         self.entries = {}
-        self._leases = 0
-        self._recovered = 0
+        self._last_lease = 0
+        self._returned_in_recovery = 0
 
     @property
     def outstanding(self):
@@ -203,10 +203,10 @@
         Until the earlier tenure's leases have run out these are only the slots
         that adopted holders have handed back since.
         """
-        room = max(0, self.capacity - self.outstanding)
+        unleased = max(0, self.capacity - self.outstanding)
         if now < self.settled_at:
-            return min(self._recovered, room)
-        return room
+            return min(self._returned_in_recovery, unleased)
+        return unleased
 
     def merge_claim(self, holder, claim, now):
         """Take in a claim; return an epoch above ours that it names, or None."""
@@ -221,7 +221,7 @@
             entry.seen = now
         elif entry is not None and entry.lease == claim.lease:
             returned = max(entry.returned, min(claim.returned, entry.granted))
-            self._recovered += returned - entry.returned
+            self._returned_in_recovery += returned - entry.returned
             entry.returned = returned
             entry.used = claim.used
             # A claim that misses a grant on its way says nothing of idleness.
@@ -237,8 +237,8 @@
 
     def add_holder(self, holder, granted, now):
         """Open a lease for ``holder``."""
-        self._leases += 1
-        entry = Entry(self._leases, granted, now)
+        self._last_lease += 1
+        entry = TableEntry(self._last_lease, granted, now)
         self.entries[holder] = entry
         return entry
 
@@ -249,7 +249,7 @@
             entry = self.add_holder(holder, 0, now)
         entry.granted += count
         entry.idle = 0
-        self._recovered = max(0, self._recovered - count)
+        self._returned_in_recovery = max(0, self._returned_in_recovery - count)
 
     def get_grant(self, holder):
         """Return the `Grant` that tells ``holder`` where it stands."""
@@ -274,15 +274,15 @@
 
     def expire(self, now, lease_time):
         """Take back the leases of holders not heard from; return their names."""
-        limit = now - lease_time - MARGIN
-        gone = [h for h, entry in self.entries.items() if entry.seen < limit]
-        for holder in gone:
+        cutoff = now - lease_time - MARGIN
+        expired = [h for h, entry in self.entries.items() if entry.seen < cutoff]
+        for holder in expired:
             del self.entries[holder]
-        return gone
+        return expired
 
     def renew(self, epoch, settled_at):
         """Start a new tenure above a rival's, adopting claims afresh."""
         self.epoch = epoch
         self.settled_at = settled_at
         self.entries = {}
-        self._recovered = 0
+        self._returned_in_recovery = 0
