--- a/packages/valeweir_sharing/src/valeweir_sharing/__init__.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions on capacity: who is served next, where, and who holds which slot.
+"""Capacity decisions: which request is served next, and on which upstream's slot.
 
-Plain functions over small states. Nothing here does I/O or reads a clock;
-times are passed in, in seconds on the caller's lease clock.
+Plain functions over small in-memory states. Nothing here does I/O or reads a
+clock; times are passed in, in seconds on the caller's lease clock.
 """
--- a/packages/valeweir_sharing/src/valeweir_sharing/accounts.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/accounts.py
@@ -1,33 +1,36 @@
-"""Service accounting: how much each client account has been given, fleet-wide.
+"""Service accounting: the service that each client account received fleet-wide.
 
 Service is kept per (pool, client account) in cost divided by the account's
 weight, so that accounts with equal figures have had equal shares. Each router
-incarnation owns one counter that only grows; counters of all incarnations are
-merged by maximum and summed. The sum plus the account's *lift* is its virtual
-service, as in start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996):
-an account that becomes backlogged is lifted to the least backlogged one, so
-that no credit is saved up while idle.
+incarnation has one counter that only grows. Counters of an incarnation are
+merged by maximum, and those of all incarnations are summed. The sum plus the
+account's *lift* is its virtual service, as in start-time fair queueing (Goyal,
+Vin and Cheng, SIGCOMM 1996): the lift raises an account that becomes backlogged
+to the least-served backlogged one, so that idle accounts accumulate no credit.
 """
 
 from .figures import History, Key, Report, SourceState, Usage, set_count
 
-# How far below the front, in mean requests, an account may enter.
+# How far below the front an account that starts to wait may be, in mean requests.
 _ENTRY_ALLOWANCE_REQUESTS = 4.0
 
 
 class Ledger:
-    """All that one router knows of the fleet's service.
+    """One router's view of the service of all routers.
 
     Attributes
     ----------
     complete : bool
-        False while reports of live routers are missing. Lifts are for good
-        and fleet-wide, so none is made from a part of the figures.
-    own : dict of Key to Usage
-    sources : dict of str to Source, by incarnation
-    lifts : dict of Key to float
-    fronts : dict of pool to float, the virtual service last dispatched at
+        False while reports of live routers are missing. Lifts are permanent and
+        fleet-wide, so none is made from incomplete figures.
+    own : dict of ServiceKey to Usage
+    sources : dict of str to SourceState, by incarnation
+    lifts : dict of ServiceKey to float
+    fronts : dict of pool to float, the highest virtual service at a dispatch
+    mean_charges : dict of pool to float, moving averages in cost per weight
     elsewhere : dict of pool to {account: waiting requests at other routers}
+    dirty : set of ServiceKey, whose own figures changed since the last report
+    regressions : int, the number of reports with a decreased counter
     """
 
     def __init__(self):
@@ -47,7 +50,7 @@
         self._pending = {}
         self._pending_sum = {}
 
-    # -- reading ---------------------------------------------------------
+    # -- queries ---------------------------------------------------------
 
     def get_virtual(self, key):
         """Return the virtual service of ``key``, in cost per weight."""
@@ -63,16 +66,16 @@
         return dict(self._own_waiting.get(pool, {}))
 
     def get_waiting(self, pool):
-        """Return {account: requests waiting anywhere in the fleet}."""
+        """Return {account: requests waiting at any router}."""
         totals = dict(self.elsewhere.get(pool, {}))
         for account, count in self.get_own_waiting(pool).items():
             totals[account] = totals.get(account, 0) + count
         return totals
 
     def get_least_elsewhere(self, pool):
-        """Return ``(virtual, account)`` of the least-served one waiting elsewhere.
+        """Return ``(virtual service, account)`` of the least-served account elsewhere.
 
-        None where no other router has work waiting.
+        Only accounts that wait at other routers count; None if there is none.
         """
         waiting = self.elsewhere.get(pool)
         if not waiting:
@@ -84,8 +87,8 @@
     def note_waiting(self, key, delta):
         """Count a request that joins (1) or leaves (-1) the queue.
 
-        An account that was not waiting anywhere enters at no less than the
-        least-served waiting account, or the pool's front where none waits.
+        An account that was not waiting anywhere is lifted at least to the
+        least-served waiting account, or to the pool's front if none waits.
         """
         usage = self._get_usage(key)
         if delta > 0 and not usage.waiting and self.complete:
@@ -106,9 +109,10 @@
         self.dirty.add(key)
 
     def settle(self, key, estimate, actual):
-        """Turn part of a charge into settled service.
+        """Replace part of a charge by settled service.
 
-        ``estimate`` leaves the charge, ``actual`` is added to the counter.
+        ``estimate`` is subtracted from the charge and ``actual`` is added to the
+        settled service.
         """
         usage = self._get_usage(key)
         usage.inflight = max(0.0, usage.inflight - estimate)
@@ -116,10 +120,11 @@
         self.dirty.add(key)
 
     def mirror_charge(self, key, amount):
-        """Assume that every router where ``key`` waits charges it alike.
+        """Add ``amount`` as pending at every live router where ``key`` waits.
 
         Between two reports all routers see the same account as the least
-        served; without this each of them serves it until the next report.
+        served. Without this assumption each of them would serve that account
+        until the next report.
         """
         for source, state in self.sources.items():
             report = state.reports.get(key)
@@ -127,13 +132,13 @@
                 self.add_pending(source, key, amount)
 
     def add_pending(self, source, key, amount):
-        """Assume ``amount`` of service at ``source`` until its next report."""
+        """Count ``amount`` as service at ``source`` until its next report."""
         pending = self._pending.setdefault(source, {})
         pending[key] = pending.get(key, 0.0) + amount
         self._pending_sum[key] = self._pending_sum.get(key, 0.0) + amount
 
     def clear_pending(self, source):
-        """Forget what was assumed of ``source``."""
+        """Delete the pending service at ``source``."""
         for key, amount in self._pending.pop(source, {}).items():
             left = self._pending_sum.get(key, 0.0) - amount
             if left > 1e-9:
@@ -142,10 +147,10 @@
                 self._pending_sum.pop(key, None)
 
     def clamp(self, pool, bound):
-        """Lift waiting accounts to within ``bound`` of the best-served one.
+        """Lift waiting accounts to within ``bound`` of the most-served one.
 
-        After a cut heals, the difference carried over is at most ``bound``.
-        Returns the number of accounts lifted.
+        So a difference that arose during a network partition is at most
+        ``bound`` afterwards. Returns the number of accounts lifted.
         """
         waiting = self.get_waiting(pool) if self.complete else {}
         if len(waiting) < 2:
@@ -160,9 +165,10 @@
     # -- merging ---------------------------------------------------------
 
     def merge(self, source, seq, reports, fronts):
-        """Merge what ``source`` reported; return False for old news.
+        """Merge a report of ``source``; return False if it is outdated.
 
-        Counters never go back: a smaller ``settled`` is ignored and counted.
+        Counters never decrease: a smaller ``settled`` is ignored and counted in
+        `regressions`.
         """
         if source in self.retired:
             return False
@@ -180,7 +186,7 @@
         return True
 
     def merge_waiting(self, source, pool, waiting):
-        """Replace what waits at ``source`` in ``pool``; {account: count}."""
+        """Replace the waiting requests of ``source`` in ``pool``, {account: count}."""
         state = self.sources.setdefault(source, SourceState())
         self._restore_deducted(state)
         for account in set(state.waiting.get(pool, ())) | set(waiting):
@@ -193,10 +199,11 @@
             state.set_waiting(key, count)
 
     def take_demand(self, source, key):
-        """Note that one request waiting at ``source`` has been given a slot.
+        """Deduct a request waiting at ``source`` that has been granted a slot.
 
-        This holds until its next report: it may use the slot for another
-        account, and then says nothing of one whose figures have not changed.
+        The next report restores the deducted requests. The router may use the
+        slot for another account, and then its report leaves out ``key``, whose
+        figures have not changed.
         """
         state = self.sources.get(source)
         report = state.reports.get(key) if state else None
@@ -206,14 +213,14 @@
         self._change_waiting(state, key, -1)
 
     def get_demand(self, source, pool):
-        """Return {account: waiting} at one other router."""
+        """Return {account: waiting requests} at one other router."""
         state = self.sources.get(source)
         if state is None or not state.live:
             return {}
         return state.waiting.get(pool, {})
 
     def set_live(self, source, live):
-        """Stop or resume counting what waits and runs at ``source``."""
+        """Start or stop counting the waiting and running requests at ``source``."""
         state = self.sources.get(source)
         if state is None or state.live == live:
             return
@@ -225,10 +232,11 @@
             self._add_others_service(key, sign * report.inflight)
 
     def retire(self, source, now):
-        """Fold a dead incarnation's settled service into the common base.
+        """Move a dead incarnation's settled service from ``sources`` to ``base``.
 
-        Its sum leaves ``sources`` unchanged in total, so virtual service does
-        not move; the name is remembered until `forget_retired`.
+        The total of settled service does not change, and neither does virtual
+        service. The name is kept until `forget_retired`, so that late reports
+        are ignored.
         """
         state = self.sources.get(source)
         if state is None:
@@ -241,15 +249,15 @@
             self._add_others_service(key, -report.settled)
 
     def forget_retired(self, before):
-        """Drop names retired earlier than ``before``."""
+        """Delete the names of incarnations retired earlier than ``before``."""
         old = [source for source, at in self.retired.items() if at < before]
         for source in old:
             del self.retired[source]
 
-    # -- state for a router that starts empty ------------------------------
+    # -- history for a starting router -------------------------------------
 
     def get_history(self):
-        """Return `History`: what no live router reports any more."""
+        """Return the `History`, the service that no live router reports."""
         lifts = {key: lift for key, lift in self.lifts.items() if lift > 0}
         silent = {
             source: {key: report.settled for key, report in state.reports.items()}
@@ -259,7 +267,7 @@
         return History(dict(self.base), list(self.retired), lifts, silent)
 
     def adopt_history(self, history, now):
-        """Take a peer's history, once, at start."""
+        """Adopt a peer's history, once, at the start of this router."""
         for source in history.retired:
             state = self.sources.pop(source, None)
             for key, report in state.reports.items() if state else ():
@@ -274,11 +282,11 @@
         for source, settled in history.silent.items():
             if source not in self.sources:
                 rows = [(k, Report(s, 0.0, 0.0, 0)) for k, s in settled.items()]
-                # Any report of its own that it may yet send is newer.
+                # With sequence number 0, any later report of the source is newer.
                 self.merge(source, 0, rows, [])
                 self.set_live(source, False)
 
-    # -- details -----------------------------------------------------------
+    # -- internals ---------------------------------------------------------
 
     def _restore_deducted(self, state):
         deducted, state.deducted = state.deducted, {}
@@ -312,8 +320,9 @@
         floor = front
         if waiting:
             services = sorted(self.get_virtual(Key(key.pool, a)) for a in waiting)
-            # The least may be other entrants whose lift is not known here yet,
-            # the front one account that ran ahead; neither moves a quartile.
+            # The least-served accounts may have started to wait at other routers
+            # whose lifts are not known here yet, and the front may come from a
+            # single account far ahead. The upper quartile depends on neither.
             quartile = services[len(services) * 3 // 4]
             allowance = _ENTRY_ALLOWANCE_REQUESTS * self.get_unit(key.pool)
             floor = max(services[0], min(quartile, front) - allowance)
--- a/packages/valeweir_sharing/src/valeweir_sharing/choice.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/choice.py
@@ -1,4 +1,4 @@
-"""Which of the free slots a request takes."""
+"""Choice of the upstream, among those with a free slot, for a request."""
 
 import collections
 from typing import NamedTuple
@@ -11,8 +11,8 @@
 class Candidate(NamedTuple):
     """An upstream with a free leased slot.
 
-    ``load`` is its last reported part of slots busy, 0 to 1; ``is_local`` tells
-    whether it is in this router's failure domain.
+    ``load`` is the last reported fraction of its slots in use, 0 to 1;
+    ``is_local`` is true if it is in this router's failure domain.
     """
 
     upstream: str
@@ -22,21 +22,23 @@
 
 
 class Choice(NamedTuple):
-    """The upstream chosen and why."""
+    """The chosen upstream and the reason for the choice."""
 
     upstream: str
     reason: str
 
 
 class PrefixHints:
-    """Which upstreams probably cache a prompt prefix; a hint, never trusted.
+    """Upstreams that probably cache a prompt prefix.
+
+    A hint may be wrong, so it only affects the choice among usable upstreams.
 
     Parameters
     ----------
-    capacity : int
-        Prefixes remembered; the oldest go first.
-    lifetime : float
-        Seconds after which a hint counts no more.
+    max_prefixes : int
+        Number of prefixes kept; the least recently updated are dropped first.
+    lifetime_s : float
+        Age in seconds from which a hint has no weight.
     """
 
     def __init__(self, max_prefixes=20_000, lifetime_s=120.0):
@@ -45,7 +47,7 @@
         self._hints = collections.OrderedDict()
 
     def note(self, prefix, upstream, now):
-        """Note that ``upstream`` has just read a prompt with ``prefix``."""
+        """Record that ``upstream`` has just processed a prompt with ``prefix``."""
         times = self._hints.setdefault(prefix, {})
         times[upstream] = now
         self._hints.move_to_end(prefix)
@@ -53,11 +55,11 @@
             self._hints.popitem(last=False)
 
     def remove(self, prefix, upstream):
-        """Drop a hint that an eviction event contradicts."""
+        """Remove a hint after ``upstream`` has evicted ``prefix`` from its cache."""
         self._hints.get(prefix, {}).pop(upstream, None)
 
     def get(self, prefix, upstream, now):
-        """Return how much the hint is worth, 1 when fresh down to 0."""
+        """Return the weight of a hint, from 1 when new down to 0 with age."""
         recorded_at = self._hints.get(prefix, {}).get(upstream)
         if recorded_at is None:
             return 0.0
@@ -67,8 +69,8 @@
 def choose_upstream(candidates, prefix, hints, now):
     """Return the `Choice` among candidates with a free slot, or None.
 
-    The order of client accounts is settled before: a better place for a
-    request never makes another account wait.
+    The request, and with it the account, is selected before the upstream, so
+    a preference for an upstream never delays another account.
     """
     best = None
     for cand in candidates:
--- a/packages/valeweir_sharing/src/valeweir_sharing/figures.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/figures.py
@@ -1,10 +1,13 @@
-"""What is counted of service, by router incarnation and client account."""
+"""Service figures, by router incarnation, pool and client account.
+
+An incarnation is one run of a router process.
+"""
 
 from typing import NamedTuple
 
 
 class Key(NamedTuple):
-    """What service is accounted for."""
+    """Key of the service accounting."""
 
     pool: str
     account: str
@@ -13,8 +16,9 @@
 class Report(NamedTuple):
     """One incarnation's figures for one key.
 
-    ``settled`` only grows; ``inflight`` is the charge for running requests;
-    ``lift`` is a fleet-wide maximum; ``waiting`` counts queued requests.
+    ``settled`` is the settled service, which only grows; ``inflight`` is the
+    charge for running requests; ``lift`` is a maximum over the fleet;
+    ``waiting`` is the number of queued requests.
     """
 
     settled: float
@@ -24,10 +28,11 @@
 
 
 class History(NamedTuple):
-    """Service that a router which starts empty cannot hear of otherwise.
+    """Service that a starting router cannot learn from current reports.
 
-    ``base`` is the settled service of ``retired`` incarnations, summed;
-    ``silent`` that of incarnations not heard from, by name.
+    ``base`` is the sum of the settled service of ``retired`` incarnations;
+    ``silent`` is the settled service of incarnations that do not report now,
+    by their names.
     """
 
     base: dict[Key, float]
@@ -37,7 +42,7 @@
 
 
 class Usage:
-    """This incarnation's own figures for one key."""
+    """The figures of this router's own incarnation for one key."""
 
     __slots__ = ("inflight", "settled", "waiting")
 
@@ -48,7 +53,7 @@
 
 
 class SourceState:
-    """What another incarnation reported last."""
+    """The last reported figures of another incarnation."""
 
     __slots__ = ("deducted", "live", "reports", "seq", "waiting")
 
@@ -56,18 +61,18 @@
         self.seq = -1
         self.live = True
         self.reports = {}
-        # {pool: {account: requests}}, for the demand that owners ask for.
+        # {pool: {account: requests}}, read by owners to find demand.
         self.waiting = {}
-        # Requests that slots were given for since the last report.
+        # {key: requests} that were granted slots since the last report.
         self.deducted = {}
 
     def set_waiting(self, key, count):
-        """Note how many requests of ``key`` wait there."""
+        """Set the number of requests of ``key`` that wait at the incarnation."""
         set_count(self.waiting, key, count)
 
 
 def set_count(counts, key, count):
-    """Set ``counts[pool][account]``; what is not positive is left out."""
+    """Set ``counts[pool][account]``, or remove it if not positive."""
     pool = counts.setdefault(key.pool, {})
     if count > 0:
         pool[key.account] = count
--- a/packages/valeweir_sharing/src/valeweir_sharing/grants.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/grants.py
@@ -1,4 +1,4 @@
-"""The owner's decision: which router gets the free slots."""
+"""Assignment of an owner's free slots to routers."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Want(NamedTuple):
-    """Demand at one holder: requests of one account waiting there."""
+    """The number of an account's requests that wait at one holder."""
 
     holder: str
     account: str
@@ -14,7 +14,11 @@
 
 
 class SlotAssignment(NamedTuple):
-    """One slot of ``upstream`` for ``holder``; ``account`` is None for a float."""
+    """One slot of ``upstream`` for ``holder``.
+
+    ``account`` is the account whose demand it meets, or None for an idle slot
+    that is assigned without demand.
+    """
 
     holder: str
     upstream: str
@@ -22,27 +26,29 @@
 
 
 def plan_gifts(pool, free, demands, ledger, select_upstream, rng, starved=()):
-    """Divide free slots, one at a time, to the least-served waiting accounts.
+    """Assign free slots, one at a time, to the least-served waiting accounts.
 
     Parameters
     ----------
     free : dict of upstream to int
-        Slots to give; changed in place.
-    wants : list of Want
-    prefer : callable
-        ``select_upstream(holder, upstreams)`` returns the upstream to give, or None
-        where the holder can use none of them.
+        Free slots; changed in place.
+    demands : list of SlotDemand
+    ledger : Ledger
+    select_upstream : callable
+        ``select_upstream(holder, upstreams)`` returns the upstream for the next
+        slot, or None if the holder can use none of them.
     rng : random.Random
-        Chooses among the routers where an account waits, in proportion to the
-        requests there: a router with few is not passed over for ever.
-    dry : collection of str
-        Holders that get one slot first. Shares bound what an account waits,
-        not what its requests at one router wait, where it is served elsewhere.
+        Chooses among the routers where an account waits, in proportion to its
+        requests there, so that a router with few of them is not starved.
+    starved : collection of str
+        Holders that get one slot first. Fair shares bound the wait of an account
+        as a whole, but not that of its requests at one router while its other
+        requests are served elsewhere.
 
     Returns
     -------
-    list of Gift
-        Each is charged to the ledger as pending at its holder.
+    list of SlotAssignment
+        The ledger counts each as pending service at its holder.
     """
     holders_by_account = {}
     for demand in demands:
@@ -77,14 +83,15 @@
 
 
 def plan_floats(free, held, limit):
-    """Give idle slots to the holders with the fewest, up to ``limit`` each.
+    """Assign idle slots to the holders with the fewest, up to ``limit`` each.
 
     Parameters
     ----------
     free : dict of upstream to int
-        Changed in place.
+        Free slots; changed in place.
     held : dict of holder to int
-        Slots each holder has free already, over all upstreams of the pool.
+        Free slots that each holder has over all upstreams of the pool; changed
+        in place.
     """
     assignments = []
     for upstream in free:
@@ -99,14 +106,17 @@
 
 
 def should_hand_back(local_least, elsewhere_least, slack):
-    """Return whether a freed slot serves the fleet better through its owner.
+    """Return whether a freed slot should be returned to its owner.
+
+    This is so if a less-served account waits at another router.
 
     Parameters
     ----------
     local_least, elsewhere_least : float or None
-        Virtual service of the least-served account waiting here, elsewhere.
+        Virtual service of the least-served account that waits at this router
+        and at other routers; None if none waits there.
     slack : float
-        Difference up to which the slot is kept, in cost per weight.
+        Difference, in cost per weight, up to which the slot is kept.
     """
     if elsewhere_least is None:
         return False
--- a/packages/valeweir_sharing/src/valeweir_sharing/health.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/health.py
@@ -1,4 +1,4 @@
-"""Setting upstreams aside after errors, and their slow return."""
+"""Passive health checks: ejection of failing upstreams and their readmission."""
 
 _EJECTION_ERROR_COUNT = 3
 _MIN_PAUSE_S = 2.0
@@ -6,7 +6,7 @@
 
 
 class EjectionState:
-    """How one upstream has done lately, seen from this router."""
+    """Consecutive errors and ejection of one upstream, as seen by this router."""
 
     __slots__ = ("ejected_until", "error_count", "next_pause_s", "probing")
 
@@ -18,11 +18,12 @@
 
 
 class Health:
-    """Conditions of all upstreams.
+    """Ejection states of all upstreams.
 
     An upstream is ejected after consecutive errors, for a pause that doubles
-    and is spread by a random part, so that routers do not return together.
-    After the pause one request probes it; success ends the ejection.
+    each time. The pause has random jitter, so that the routers do not all send
+    to the upstream again at the same time. After the pause one request probes
+    the upstream; a success ends the ejection.
     """
 
     def __init__(self, rng):
@@ -30,7 +31,7 @@
         self._states = {}
 
     def note_success(self, upstream):
-        """Take in a whole answer; return whether it ended an ejection."""
+        """Record a complete response; return whether it ended an ejection."""
         state = self._states.get(upstream)
         if state is None:
             return False
@@ -39,7 +40,7 @@
         return ended
 
     def note_error(self, upstream, now):
-        """Take in a failure; return the pause in seconds if it ejects, or None."""
+        """Record a failure; return the pause in seconds if it ejects, or None."""
         state = self._states.setdefault(upstream, EjectionState())
         state.error_count += 1
         if state.error_count < _EJECTION_ERROR_COUNT and not state.probing:
@@ -53,25 +54,25 @@
         return pause
 
     def is_usable(self, upstream, now):
-        """Return whether a request may go there now."""
+        """Return whether a request may be sent to the upstream now."""
         state = self._states.get(upstream)
         if state is None or state.ejected_until == 0:
             return True
         return now >= state.ejected_until and not state.probing
 
     def is_ejected(self, upstream, now):
-        """Return whether the upstream is within its pause."""
+        """Return whether the upstream is ejected and its pause is not over."""
         state = self._states.get(upstream)
         return state is not None and now < state.ejected_until
 
     def note_dispatch(self, upstream):
-        """Note a request sent; the first one after a pause is the probe."""
+        """Record a request sent; the first one after a pause is the probe."""
         state = self._states.get(upstream)
         if state is not None and state.ejected_until > 0:
             state.probing = True
 
     def note_released(self, upstream):
-        """Note a probe that ended without telling anything."""
+        """Record that a probe ended with neither success nor failure."""
         state = self._states.get(upstream)
         if state is not None:
             state.probing = False
--- a/packages/valeweir_sharing/src/valeweir_sharing/keys.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/keys.py
@@ -1,9 +1,10 @@
-"""Idempotency keys: a call that may not be repeated is sent once per key.
+"""Idempotency keys: a call that must not be repeated is sent once per key.
 
-Each key has `HOLDER_COUNT` holders, chosen by rendezvous hashing over all members,
-reachable or not. A router sends a keyed call only after a majority of them
-has recorded its claim; two majorities share a holder, so a second claim of the
-key is always seen, also across a cut. Holders keep claims in memory only.
+Each key has `HOLDER_COUNT` holders, chosen by rendezvous hashing over all
+members, reachable or not. A router sends a keyed call only after a majority of
+them has recorded its claim. Any two majorities have a holder in common, so a
+second claim of the key is always detected, also during a network partition.
+Holders keep claims in memory only.
 """
 
 from enum import StrEnum
@@ -16,7 +17,12 @@
 
 
 class Claimed(StrEnum):
-    """What a holder says to a claim."""
+    """A holder's answer to a claim.
+
+    ``DUPLICATE``: another request has claimed the key. ``INCOMPLETE``: the claim
+    is recorded, but the holder may have lost earlier claims in a restart, so its
+    answer does not count towards the majority.
+    """
 
     GRANTED = "granted"
     DUPLICATE = "known"
@@ -24,7 +30,7 @@
 
 
 class ClaimRecord(NamedTuple):
-    """A claim of a key: the request that has it, and since when."""
+    """A claim of a key, with its request and the time of recording."""
 
     key: bytes
     request: int
@@ -37,7 +43,7 @@
     Attributes
     ----------
     complete : bool
-        Whether the table holds what was recorded before this router started.
+        Whether the table includes the claims from before this router's start.
     """
 
     def __init__(self):
@@ -45,10 +51,11 @@
         self.complete = False
 
     def claim(self, key, request, now):
-        """Record a claim and return whether it may go ahead.
+        """Record a claim and return the `Claimed` answer.
 
-        A holder that has just started may have forgotten the key: it records
-        the claim, but counts for nothing until it has learned from the others.
+        A holder that has just started may have lost a claim of the key. It
+        records new claims, but its answers do not count towards a majority
+        until it has merged the claims of the other holders.
         """
         record = self.records.get(key)
         if record is not None and record.request != request:
@@ -57,22 +64,22 @@
         return Claimed.GRANTED if self.complete else Claimed.INCOMPLETE
 
     def release(self, key, request):
-        """Forget a claim whose call was certainly not run."""
+        """Delete a claim whose call was certainly not run."""
         record = self.records.get(key)
         if record is not None and record.request == request:
             del self.records[key]
 
     def merge(self, rows, now):
-        """Take in claims of another holder: ``(key, request, age)``."""
+        """Add another holder's claims, rows of ``(key, request, age)``."""
         for key, request, age in rows:
             self.records.setdefault(key, ClaimRecord(key, request, now - age))
 
     def get_rows(self, now):
-        """Return all claims as ``(key, request, age)``."""
+        """Return all claims as rows of ``(key, request, age)``."""
         return [(r.key, r.request, now - r.recorded_at) for r in self.records.values()]
 
     def expire(self, now):
-        """Drop claims older than `RETENTION_S`."""
+        """Delete claims older than `RETENTION_S`."""
         cutoff = now - RETENTION_S
         expired = [
             key for key, record in self.records.items() if record.recorded_at < cutoff
@@ -82,18 +89,19 @@
 
 
 def get_holders(key, members):
-    """Return the hosts that hold a key."""
+    """Return the hosts that record the claims of a key."""
     ranked = sorted(members, key=lambda h: (_hash(key + h.encode()), h), reverse=True)
     return ranked[:HOLDER_COUNT]
 
 
 def judge_claim(answers, holder_count):
-    """Return True to send, False to refuse, None while answers are missing.
+    """Return True to send the call, False to refuse it, None if undecided.
 
     Parameters
     ----------
-    answers : dict of host to Claimed
-    holders : int
+    answers : dict of host to ClaimAnswer
+        Answers received so far.
+    holder_count : int
         Number of holders of the key.
     """
     statuses = list(answers.values())
--- a/packages/valeweir_sharing/src/valeweir_sharing/leases.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/leases.py
@@ -1,9 +1,10 @@
-"""Leases of an upstream's slots: the holder's side and the owner's side.
+"""Leases of an upstream's slots, for the holders and for the owner.
 
-A lease is (upstream, epoch, lease number) with two totals that only grow:
-slots granted by the owner, slots returned by the holder. Both travel as
-absolute figures, so lost, repeated and reordered messages do no harm, and the
-owner's count of outstanding slots is never below what the holder may use.
+A lease is identified by (upstream, epoch, lease number) and has two totals that
+only grow: slots granted by the owner and slots returned by the holder. Messages
+carry the totals themselves, so lost, repeated and reordered messages are
+harmless, and the owner never counts fewer outstanding slots than the holder may
+use.
 """
 
 from typing import NamedTuple
@@ -12,9 +13,9 @@
 
 
 class Claim(NamedTuple):
-    """What a holder says of its slots of one upstream, to the owner.
+    """A holder's report to the owner on its slots of one upstream.
 
-    ``held`` and ``used`` let a new owner rebuild its table; ``refused`` is
+    A new owner rebuilds its table from ``held`` and ``used``; ``refused`` is
     true while this holder cannot reach the upstream.
     """
 
@@ -28,7 +29,7 @@
 
 
 class Grant(NamedTuple):
-    """What the owner says of a holder's slots: total granted on the lease."""
+    """The owner's report to a holder on the total granted on its lease."""
 
     upstream: str
     epoch: int
@@ -37,7 +38,7 @@
 
 
 class Held:
-    """One holder's slots of one upstream."""
+    """The slots of one upstream that this router holds."""
 
     __slots__ = ("epoch", "granted", "lease", "owner", "returned", "used")
 
@@ -51,12 +52,12 @@
 
     @property
     def slots(self):
-        """Slots on the lease, used or free."""
+        """Number of slots on the lease, used or free."""
         return self.granted - self.returned
 
     @property
     def free(self):
-        """Slots on the lease with no request of ours running."""
+        """Number of slots on the lease without a running request."""
         return max(0, self.slots - self.used)
 
 
@@ -67,8 +68,10 @@
     ----------
     held : dict of upstream to Held
     heard : dict of owner to float
-        Our own send time that the owner last answered; its leases lapse
-        ``lease_time`` after that.
+        The latest send time of this router that the owner has echoed. The
+        owner's leases lapse ``lease_time`` after it.
+    lapses : int
+        Number of leases that have lapsed.
     """
 
     def __init__(self, lease_time):
@@ -78,11 +81,11 @@
         self.lapses = 0
 
     def note_echo(self, owner, sent_at):
-        """Extend the leases of ``owner``, which has seen our news of ``sent_at``."""
+        """Extend the leases of ``owner``, which has echoed send time ``sent_at``."""
         self.heard[owner] = max(self.heard.get(owner, 0.0), sent_at)
 
     def merge_grant(self, owner, grant):
-        """Take in a grant; return the number of slots gained."""
+        """Apply a grant; return the number of slots gained."""
         held = self.held.setdefault(grant.upstream, Held())
         current = (held.epoch, held.lease)
         offered = (grant.epoch, grant.lease)
@@ -106,7 +109,7 @@
         return now < self.heard.get(held.owner, 0.0) + self.lease_time
 
     def take(self, upstream, now):
-        """Use a free slot for a request; False where none may be used."""
+        """Use a free slot for a request; return False if none may be used."""
         held = self.held.get(upstream)
         if held is None or held.free <= 0 or not self.is_valid(upstream, now):
             return False
@@ -114,11 +117,11 @@
         return True
 
     def finish(self, upstream):
-        """Note that a request has left its slot."""
+        """Free the slot of a request that has ended."""
         self.held[upstream].used -= 1
 
     def give_back(self, upstream, count):
-        """Hand ``count`` free slots back; return how many there were."""
+        """Return up to ``count`` free slots to the owner; return their number."""
         held = self.held.get(upstream)
         if held is None:
             return 0
@@ -127,7 +130,7 @@
         return count
 
     def drop_lapsed(self, now):
-        """Return whatever is on lapsed leases; list the upstreams concerned."""
+        """Return all slots of lapsed leases; return the upstreams concerned."""
         dropped = []
         for upstream, held in self.held.items():
             if held.slots > 0 and not self.is_valid(upstream, now):
@@ -137,7 +140,7 @@
         return dropped
 
     def get_claim(self, upstream, refused=False):
-        """Return our `Claim` on ``upstream``."""
+        """Return this router's `Claim` on ``upstream``."""
         held = self.held.get(upstream) or Held()
         return Claim(
             upstream,
@@ -166,21 +169,22 @@
 
     @property
     def slots(self):
-        """Slots that the holder may be using."""
+        """Number of slots that the holder may be using."""
         return self.granted - self.returned
 
 
 class Table:
-    """The owner's table of one upstream's slots during one tenure.
+    """The owner's table of one upstream's slots during one ownership epoch.
 
     Parameters
     ----------
     capacity : int
-        Slots that may be out at once.
+        Number of slots that may be leased out at once.
     epoch : int
-        Number of the tenure; higher than any earlier one.
+        Number of the epoch; higher than that of any earlier owner.
     settled_at : float
-        Time from which slots not claimed by earlier holders are free.
+        End of recovery: the time from which all leases of earlier epochs have
+        run out, so that slots not claimed by their holders are free.
     """
 
     def __init__(self, upstream, capacity, epoch, settled_at):
@@ -194,14 +198,14 @@
 
     @property
     def outstanding(self):
-        """Slots that holders may be using."""
+        """Number of slots that holders may be using."""
         return sum(entry.slots for entry in self.entries.values())
 
     def get_free(self, now):
-        """Return slots that can be granted at ``now``.
+        """Return the number of slots that can be granted at ``now``.
 
-        Until the earlier tenure's leases have run out these are only the slots
-        that adopted holders have handed back since.
+        Until the leases of earlier epochs have run out, these are only the slots
+        that holders with adopted claims have returned since.
         """
         unleased = max(0, self.capacity - self.outstanding)
         if now < self.settled_at:
@@ -209,13 +213,13 @@
         return unleased
 
     def merge_claim(self, holder, claim, now):
-        """Take in a claim; return an epoch above ours that it names, or None."""
+        """Apply a claim; return its epoch if that is above this table's, or None."""
         if claim.epoch > self.epoch:
             return claim.epoch
         entry = self.entries.get(holder)
         if claim.epoch < self.epoch:
             if entry is None:
-                # Only while old leases may still run is an old claim adopted.
+                # A claim of an earlier epoch counts only while its lease may run.
                 adopted = claim.held if now < self.settled_at else 0
                 entry = self.add_holder(holder, adopted, now)
             entry.seen = now
@@ -224,7 +228,7 @@
             self._returned_in_recovery += returned - entry.returned
             entry.returned = returned
             entry.used = claim.used
-            # A claim that misses a grant on its way says nothing of idleness.
+            # A claim sent before the last grant arrived does not show idle slots.
             up_to_date = claim.held == entry.slots
             entry.idle = max(0, claim.held - claim.used) if up_to_date else 0
             entry.seen = now
@@ -243,7 +247,7 @@
         return entry
 
     def grant(self, holder, count, now):
-        """Grant ``count`` more slots; the caller has checked `get_free`."""
+        """Grant ``count`` more slots; the caller must check `get_free` first."""
         entry = self.entries.get(holder)
         if entry is None:
             entry = self.add_holder(holder, 0, now)
@@ -252,17 +256,17 @@
         self._returned_in_recovery = max(0, self._returned_in_recovery - count)
 
     def get_grant(self, holder):
-        """Return the `Grant` that tells ``holder`` where it stands."""
+        """Return the `Grant` with the total granted to ``holder``."""
         entry = self.entries[holder]
         return Grant(self.upstream, self.epoch, entry.lease, entry.granted)
 
     def take_over(self, epoch, holders, ready_at, now):
-        """Take in the last owner's table; slots not in it are free at ``ready_at``.
+        """Adopt the previous owner's table; other slots are free at ``ready_at``.
 
         Parameters
         ----------
         epoch : int
-            The last owner's tenure; ours becomes higher if it is not.
+            The previous owner's epoch; this table's is raised above it if needed.
         holders : dict of str to int
             Slots that holders may be using.
         """
@@ -273,7 +277,11 @@
         self.settled_at = min(self.settled_at, ready_at)
 
     def expire(self, now, lease_time):
-        """Take back the leases of holders not heard from; return their names."""
+        """Delete the leases of holders without a recent claim; return their names.
+
+        The owner waits for `MARGIN` longer than the holders do, so that a lease
+        has lapsed at its holder before its slots are granted again.
+        """
         cutoff = now - lease_time - MARGIN
         expired = [h for h, entry in self.entries.items() if entry.seen < cutoff]
         for holder in expired:
@@ -281,7 +289,7 @@
         return expired
 
     def renew(self, epoch, settled_at):
-        """Start a new tenure above a rival's, adopting claims afresh."""
+        """Start a new epoch, above that of another owner, with an empty table."""
         self.epoch = epoch
         self.settled_at = settled_at
         self.entries = {}
--- a/packages/valeweir_sharing/src/valeweir_sharing/limits.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/limits.py
@@ -1,4 +1,4 @@
-"""Limits at the entry: how much of a router one client account may occupy."""
+"""Admission limits: how much of a router one client account may occupy."""
 
 from typing import NamedTuple
 
@@ -11,7 +11,7 @@
 
 
 class EntryLimits(NamedTuple):
-    """Totals of one router; sizes in bytes."""
+    """Limits of one router as a whole; body sizes are in bytes."""
 
     max_waiting: int
     max_waiting_body: int
@@ -19,7 +19,7 @@
 
 
 class Occupancy:
-    """Queue places and body memory in use, in total and by account."""
+    """Admitted requests and the bytes of their bodies, in total and by account."""
 
     def __init__(self):
         self.waiting = 0
@@ -31,14 +31,14 @@
         return self._by_account.get(account, (0, 0))
 
     def add(self, account, body_size):
-        """Count a request from its arrival."""
+        """Count a request on admission."""
         count, body_bytes = self.get(account)
         self._by_account[account] = (count + 1, body_bytes + body_size)
         self.waiting += 1
         self.body_bytes += body_size
 
     def remove(self, account, body_size):
-        """Count a request's end."""
+        """Remove a request from the counts when it ends."""
         count, body_bytes = self.get(account)
         if count <= 1:
             self._by_account.pop(account, None)
@@ -49,7 +49,7 @@
 
 
 def get_max_requests(limits, weight_ratio, work_class):
-    """Return how many requests an account may have at this router.
+    """Return how many requests an account may have at this router at once.
 
     Parameters
     ----------
@@ -63,7 +63,7 @@
 
 
 def find_excess(limits, occupancy, account, weight_ratio, work_class, body_size):
-    """Return the name of the limit that a new request breaks, or None."""
+    """Return the name of the limit that a new request would exceed, or None."""
     if occupancy.waiting >= limits.max_waiting:
         return "router-full"
     if occupancy.body_bytes + body_size > limits.max_waiting_body:
@@ -78,10 +78,10 @@
 
 
 def get_retry_after(waiting, rate, rng):
-    """Return whole seconds after which a refused caller should come back.
+    """Return the whole seconds after which a refused client should retry.
 
-    The time to work off half of what waits, spread so that refused callers
-    do not all return together.
+    This is the time to serve half of the waiting requests, with random jitter
+    so that refused clients do not all retry at the same time.
     """
     wait_s = waiting / max(rate, 1.0) / 2
     spread_factor = rng.uniform(0.5, 1.5)
@@ -89,7 +89,15 @@
 
 
 class RetryBudget:
-    """Tokens that bound an account's retries to a part of its requests."""
+    """Token buckets that limit an account's retries to a ratio of its requests.
+
+    Parameters
+    ----------
+    ratio : float
+        Tokens added for each request; a retry uses one token.
+    reserve : float
+        Tokens of an account at the start; a bucket holds at most twice as many.
+    """
 
     def __init__(self, ratio=0.1, reserve=5.0):
         self._ratio = ratio
@@ -97,12 +105,12 @@
         self._tokens = {}
 
     def earn(self, account):
-        """Credit one request."""
+        """Add the tokens of one request."""
         tokens = self._tokens.get(account, self._reserve)
         self._tokens[account] = min(self._reserve * 2, tokens + self._ratio)
 
     def spend(self, account):
-        """Take one retry; False where the budget is used up."""
+        """Use one token for a retry; return False if none is left."""
         tokens = self._tokens.get(account, self._reserve)
         if tokens < 1.0:
             return False
--- a/packages/valeweir_sharing/src/valeweir_sharing/ownership.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/ownership.py
@@ -1,8 +1,8 @@
-"""Which router leases out the slots of an upstream.
+"""Choice of the router that owns an upstream, which leases out its slots.
 
-Rendezvous hashing (Thaler and Ravishankar, IEEE/ACM ToN 1998): every router
-ranks the candidates alike, without agreement, and the loss of one moves only
-what it owned.
+Uses rendezvous hashing (Thaler and Ravishankar, IEEE/ACM ToN 1998): all routers
+compute the same ranking of the candidates without coordination, and the loss of
+a router moves only the upstreams that it owned.
 """
 
 import xxhash
@@ -13,9 +13,10 @@
 def get_group(upstream, pool, domain, pool_size):
     """Return the ownership group of an upstream.
 
-    Upstreams of one pool in one failure domain are owned together, up to
-    about `GROUP_SIZE`, so that one owner sees enough slots to decide well.
-    The number of groups is a power of two, so that it seldom changes.
+    Upstreams of one pool in one failure domain form groups of about
+    `GROUP_SIZE`. A group has one owner, so that the owner has enough slots to
+    choose among. The number of groups is a power of two, so that it rarely
+    changes when upstreams are added or removed.
     """
     group_count = 1
     while group_count * GROUP_SIZE < pool_size:
@@ -25,12 +26,12 @@
 
 
 def choose_owner(group, candidates):
-    """Return the candidate that owns ``group``, or None where there are none.
+    """Return the candidate that owns ``group``, or None without candidates.
 
     Parameters
     ----------
     candidates : iterable of str
-        Names of hosts that are heard from and not leaving.
+        Names of hosts that are live and not leaving.
     """
     hosts = sorted(candidates)
     if not hosts:
@@ -41,7 +42,7 @@
 def get_candidates(domain, members):
     """Return the hosts that may own upstreams of ``domain``.
 
-    Routers of the domain itself; where none is left, all that are known.
+    These are the routers in the domain, or all members if it has none.
 
     Parameters
     ----------
--- a/packages/valeweir_sharing/src/valeweir_sharing/pace.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/pace.py
@@ -1,4 +1,4 @@
-"""How often a router reports, so that control traffic keeps to its budget."""
+"""Interval between a router's digests, adapted to a budget for control traffic."""
 
 _LENGTHEN_FACTOR = 1.15
 _SHORTEN_FACTOR = 0.95
@@ -9,11 +9,13 @@
 
 
 class Pace:
-    """The interval between digests, and the pressure to move fewer slots.
+    """The interval between digests, and a factor that reduces slot transfers.
 
-    While more than the budget goes out, the interval is stretched, up to a
-    sixth of a lease; when that is not enough, pressure widens the hand-back
-    slack. Both go back when there is room, pressure first.
+    While the router sends more bytes than the budget allows, the interval
+    grows, up to a sixth of a lease. If that is not enough, `pressure` grows and
+    widens the hand-back slack, so that fewer slots are returned to their
+    owners. When the rate falls below the budget both shrink again, `pressure`
+    first.
 
     Parameters
     ----------
@@ -22,7 +24,7 @@
     Attributes
     ----------
     pressure : float
-        Factor on the slack, from 1 to 8.
+        Factor on the hand-back slack, from 1 to 8.
     """
 
     def __init__(self, cfg):
@@ -37,11 +39,18 @@
         self.pressure = 1.0
 
     def get_interval(self):
-        """Return seconds until the next digest."""
+        """Return the seconds until the next digest."""
         return self._interval
 
     def note(self, sent_bytes, now):
-        """Take in the bytes sent since the start, and adapt."""
+        """Update the send rate and adapt the interval and the pressure to it.
+
+        Parameters
+        ----------
+        sent_bytes : int
+            Bytes sent since the start. A decrease is a restart of the counter:
+            that sample only becomes the base of the next one.
+        """
         last_sample, self._last_sample = self._last_sample, (sent_bytes, now)
         if last_sample is None or now <= last_sample[1] or sent_bytes < last_sample[0]:
             return
--- a/packages/valeweir_sharing/src/valeweir_sharing/queues.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/queues.py
@@ -1,4 +1,4 @@
-"""Requests waiting for a slot, and which of them goes next."""
+"""Queues of requests waiting for a slot, and the order of dispatch."""
 
 import collections
 from typing import NamedTuple
@@ -9,11 +9,11 @@
 
 
 class OrderSettings(NamedTuple):
-    """How classes weigh against fair shares.
+    """Weight of work classes against fair shares.
 
-    ``class_bonus`` is how far, in mean requests, the most urgent class may run
-    ahead of its account's turn; ``aging`` is the time in seconds after which
-    any request has the full bonus.
+    ``class_bonus`` is the number of mean requests by which a request of the most
+    urgent class may precede its account's turn; ``aging`` is the age in seconds
+    from which any request has the full bonus.
     """
 
     class_bonus: float
@@ -21,26 +21,26 @@
 
 
 class PoolQueue:
-    """Tickets waiting for one pool, by client account and class."""
+    """Tickets waiting for one pool, by client account and work class."""
 
     def __init__(self):
         self.accounts = {}
         self.size = 0
 
     def add(self, ticket):
-        """Queue a ticket in order of arrival."""
+        """Append a ticket to the queue of its account and class."""
         classes = self.accounts.setdefault(ticket.account, {})
         classes.setdefault(ticket.work_class, collections.deque()).append(ticket)
         self.size += 1
 
     def add_first(self, ticket):
-        """Queue a ticket ahead of its class: it was dispatched before."""
+        """Put a ticket that has been dispatched before first in its class."""
         classes = self.accounts.setdefault(ticket.account, {})
         classes.setdefault(ticket.work_class, collections.deque()).appendleft(ticket)
         self.size += 1
 
     def remove(self, ticket):
-        """Take a ticket out; return False where it is not queued."""
+        """Remove a ticket; return False if it is not queued."""
         classes = self.accounts.get(ticket.account, {})
         queue = classes.get(ticket.work_class)
         if not queue or ticket not in queue:
@@ -65,12 +65,12 @@
 
 
 def pick_ticket(queue, ledger, pool, now, order):
-    """Return the ticket to dispatch next, or None; it stays queued.
+    """Return the ticket to dispatch next, or None; the ticket stays queued.
 
-    The account with the least virtual service goes first, except that an
-    urgent or aged request counts as up to ``order.class_bonus`` mean requests
-    earlier. So the classes move the gap between accounts by a bounded amount,
-    and every request reaches the full bonus in time: none starves.
+    The account with the least virtual service goes first. An urgent or aged
+    request lowers this figure by up to ``order.class_bonus`` mean requests, so
+    classes change the gap between accounts by a bounded amount only. Every
+    request gets the full bonus with age, so none starves.
     """
     best = None
     best_score = None
@@ -87,7 +87,7 @@
 
 
 def get_urgency(work_class, age, aging):
-    """Return the share of the full bonus, 0 to 1, that a request has."""
+    """Return the fraction of the full bonus, 0 to 1, that a request gets."""
     max_priority = max(CLASS_PRIORITY.values())
     class_urgency = 1.0 - CLASS_PRIORITY[work_class] / max_priority
     return max(class_urgency, min(age / aging, 1.0))
