--- a/packages/valeweir_sharing/src/valeweir_sharing/grants.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/grants.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from .figures import Key
+from valeweir_sharing.figures import Key
 
 
 class Want(NamedTuple):
--- a/packages/valeweir_sharing/src/valeweir_sharing/queues.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/queues.py
@@ -5,7 +5,7 @@
 
 from valeweir.models import CLASS_PRIORITY
 
-from .figures import Key
+from valeweir_sharing.figures import Key
 
 
 class OrderSettings(NamedTuple):
