--- a/packages/valeweir_sharing/src/valeweir_sharing/leases.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/leases.py
@@ -121,7 +121,7 @@
         self.held[upstream].used -= 1
 
     def give_back(self, upstream, count):
-        """Return up to ``count`` free slots to the owner; return their number."""
+        """Mark up to ``count`` free slots as returned; return their number."""
         held = self.held.get(upstream)
         if held is None:
             return 0
@@ -130,7 +130,7 @@
         return count
 
     def drop_lapsed(self, now):
-        """Return all slots of lapsed leases; return the upstreams concerned."""
+        """Mark all slots of lapsed leases as returned; return their upstreams."""
         dropped = []
         for upstream, held in self.held.items():
             if held.slots > 0 and not self.is_valid(upstream, now):
