--- a/packages/valeweir_router/src/valeweir_router/claims.py
+++ b/packages/valeweir_router/src/valeweir_router/claims.py
@@ -16,7 +16,7 @@
     KeyRelease,
     KeyRows,
 )
-from valeweir_sharing.keys import Claimed, get_holders, judge_claim
+from valeweir_sharing.idempotency_keys import Claimed, get_holders, judge_claim
 
 _PATIENCE_FOR_MAJORITY = 0.25
 _PATIENCE = 1.0
--- a/packages/valeweir_router/src/valeweir_router/gossip.py
+++ b/packages/valeweir_router/src/valeweir_router/gossip.py
@@ -25,7 +25,7 @@
     ViewQuery,
 )
 from valeweir_fleet.peers import Member
-from valeweir_sharing.figures import Key, Report
+from valeweir_sharing.usage import Key, Report
 
 from . import claims, dispatching, granting, histories, holding, owning
 
--- a/packages/valeweir_router/src/valeweir_router/granting.py
+++ b/packages/valeweir_router/src/valeweir_router/granting.py
@@ -4,8 +4,8 @@
 """
 
 from valeweir_fleet.messages import Offer
-from valeweir_sharing.figures import Key
-from valeweir_sharing.grants import Want, plan_floats, plan_gifts
+from valeweir_sharing.slot_assignment import Want, plan_floats, plan_gifts
+from valeweir_sharing.usage import Key
 
 from . import dispatching
 
--- a/packages/valeweir_router/src/valeweir_router/histories.py
+++ b/packages/valeweir_router/src/valeweir_router/histories.py
@@ -5,7 +5,7 @@
 
 from loguru import logger
 from valeweir_fleet.messages import Past
-from valeweir_sharing.figures import History, Key
+from valeweir_sharing.usage import History, Key
 
 _RETIRE_AFTER = 600.0
 _FORGET_AFTER = 86_400.0
@@ -37,7 +37,7 @@
 
 
 def decode_history(state, message):
-    """Return the `valeweir_sharing.accounts.History` in a message."""
+    """Return the `valeweir_sharing.accounting.History` in a message."""
     names = state.account_names
     rows = [
         (Key(p.pool, names[p.account]), p) for p in message.past if p.account in names
--- a/packages/valeweir_router/src/valeweir_router/holding.py
+++ b/packages/valeweir_router/src/valeweir_router/holding.py
@@ -6,7 +6,7 @@
 from loguru import logger
 from valeweir import metrics
 from valeweir_fleet.messages import Ask
-from valeweir_sharing.figures import Key
+from valeweir_sharing.usage import Key
 
 from . import granting, owning
 
--- a/packages/valeweir_router/src/valeweir_router/scheduler.py
+++ b/packages/valeweir_router/src/valeweir_router/scheduler.py
@@ -4,8 +4,8 @@
 """
 
 from valeweir import metrics
-from valeweir_sharing.grants import should_hand_back
 from valeweir_sharing.queues import get_least_served
+from valeweir_sharing.slot_assignment import should_hand_back
 
 from . import dispatching, holding
 
--- a/packages/valeweir_router/src/valeweir_router/states.py
+++ b/packages/valeweir_router/src/valeweir_router/states.py
@@ -8,16 +8,16 @@
 from valeweir.configuration import Configuration
 from valeweir.timers import get_lease_time
 from valeweir_fleet.peers import Peers
-from valeweir_sharing.accounts import Ledger
+from valeweir_sharing.accounting import Ledger
 from valeweir_sharing.choice import PrefixHints
+from valeweir_sharing.digest_interval import Pace
 from valeweir_sharing.estimates import Estimates
-from valeweir_sharing.figures import Key
 from valeweir_sharing.health import Health
-from valeweir_sharing.keys import KeyTable
+from valeweir_sharing.idempotency_keys import KeyTable
 from valeweir_sharing.leases import Holder
 from valeweir_sharing.limits import EntryLimits, Occupancy, RetryBudget
-from valeweir_sharing.pace import Pace
 from valeweir_sharing.queues import OrderSettings, PoolQueue
+from valeweir_sharing.usage import Key
 
 
 class Upstream(NamedTuple):
--- a/packages/valeweir_router/src/valeweir_router/views.py
+++ b/packages/valeweir_router/src/valeweir_router/views.py
@@ -1,6 +1,6 @@
 """The state as operators see it."""
 
-from valeweir_sharing.figures import Key
+from valeweir_sharing.usage import Key
 
 
 def get_resource_status(state, res):
--- a/packages/valeweir_router/tests/test_granting.py
+++ b/packages/valeweir_router/tests/test_granting.py
@@ -3,7 +3,7 @@
 from fleets import make_state
 from valeweir_fleet.peers import Peer
 from valeweir_router import granting
-from valeweir_sharing.figures import Key, Report
+from valeweir_sharing.usage import Key, Report
 
 
 class TestPlan(unittest.TestCase):
--- a/packages/valeweir_sharing/src/valeweir_sharing/accounts.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/accounting.py
@@ -9,7 +9,7 @@
 to the least-served backlogged one, so that idle accounts accumulate no credit.
 """
 
-from valeweir_sharing.figures import History, Key, Report, SourceState, Usage, set_count
+from valeweir_sharing.usage import History, Key, Report, SourceState, Usage, set_count
 
 # How far below the front an account that starts to wait may be, in mean requests.
 _ENTRY_ALLOWANCE_REQUESTS = 4.0
--- a/packages/valeweir_sharing/src/valeweir_sharing/queues.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/queues.py
@@ -5,7 +5,7 @@
 
 from valeweir.models import CLASS_PRIORITY
 
-from valeweir_sharing.figures import Key
+from valeweir_sharing.usage import Key
 
 
 class OrderSettings(NamedTuple):
--- a/packages/valeweir_sharing/src/valeweir_sharing/grants.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/slot_assignment.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from valeweir_sharing.figures import Key
+from valeweir_sharing.usage import Key
 
 
 class Want(NamedTuple):
--- a/packages/valeweir_sharing/tests/test_accounting.py
+++ b/packages/valeweir_sharing/tests/test_accounting.py
@@ -3,8 +3,8 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from valeweir_sharing.accounts import Ledger
-from valeweir_sharing.figures import Key, Report
+from valeweir_sharing.accounting import Ledger
+from valeweir_sharing.usage import Key, Report
 
 A, B, C = (Key("llm", name) for name in "abc")
 
--- a/packages/valeweir_sharing/tests/test_digest_interval.py
+++ b/packages/valeweir_sharing/tests/test_digest_interval.py
@@ -1,6 +1,6 @@
 import unittest
 
-from valeweir_sharing.pace import Pace
+from valeweir_sharing.digest_interval import Pace
 
 CFG = {"interval": 0.5, "lease": 5.0, "byte_budget": 1000}
 
--- a/packages/valeweir_sharing/tests/test_idempotency_keys.py
+++ b/packages/valeweir_sharing/tests/test_idempotency_keys.py
@@ -1,7 +1,7 @@
 import itertools
 import unittest
 
-from valeweir_sharing.keys import (
+from valeweir_sharing.idempotency_keys import (
     RETENTION_S,
     Claimed,
     KeyTable,
--- a/packages/valeweir_sharing/tests/test_queues.py
+++ b/packages/valeweir_sharing/tests/test_queues.py
@@ -5,10 +5,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from valeweir.models import WorkClass
-from valeweir_sharing.accounts import Ledger
-from valeweir_sharing.figures import Key
-from valeweir_sharing.grants import Want, plan_floats, plan_gifts, should_hand_back
+from valeweir_sharing.accounting import Ledger
 from valeweir_sharing.queues import OrderSettings, PoolQueue, get_urgency, pick_ticket
+from valeweir_sharing.slot_assignment import (
+    Want,
+    plan_floats,
+    plan_gifts,
+    should_hand_back,
+)
+from valeweir_sharing.usage import Key
 
 ORDER = OrderSettings(class_bonus=2.0, aging=20.0)
 RNG = random.Random(1)
