--- a/packages/valeweir_fleet/src/valeweir_fleet/messages.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/messages.py
@@ -143,7 +143,7 @@
 
 
 class KeyAnswer(Message, tag="N"):
-    """A holder's answer, a value of `valeweir_sharing.idempotency_keys.Claimed`."""
+    """A holder's answer, a value of `valeweir_sharing.idempotency_keys.ClaimAnswer`."""
 
     key: bytes
     request: int
--- a/packages/valeweir_router/src/valeweir_router/claims.py
+++ b/packages/valeweir_router/src/valeweir_router/claims.py
@@ -16,7 +16,7 @@
     KeyRelease,
     KeyRows,
 )
-from valeweir_sharing.idempotency_keys import Claimed, get_holders, judge_claim
+from valeweir_sharing.idempotency_keys import ClaimAnswer, evaluate_claim, get_holders
 
 _PATIENCE_FOR_MAJORITY = 0.25
 _PATIENCE = 1.0
@@ -44,7 +44,7 @@
 
     def judge(self):
         """Return whether the call may be sent; None where that is open."""
-        return judge_claim(self.answers, len(self.holders))
+        return evaluate_claim(self.answers, len(self.holders))
 
 
 def make_key(account, pool, text):
@@ -130,7 +130,7 @@
     if entry is None:
         return
     try:
-        entry.note(peer.host, Claimed(message.answer))
+        entry.note(peer.host, ClaimAnswer(message.answer))
     except ValueError:
         metrics.control_dropped.labels("malformed").inc()
 
--- a/packages/valeweir_router/src/valeweir_router/dispatching.py
+++ b/packages/valeweir_router/src/valeweir_router/dispatching.py
@@ -7,7 +7,7 @@
 from valeweir import metrics
 from valeweir.models import Placement
 from valeweir_sharing.choice import Candidate, choose_upstream
-from valeweir_sharing.queues import pick_ticket
+from valeweir_sharing.queues import choose_ticket
 
 
 def dispatch(state, pool):
@@ -18,7 +18,7 @@
         candidates = get_candidates(state, pool, now)
         if not candidates:
             return
-        ticket = pick_ticket(queue, state.ledger, pool, now, state.order)
+        ticket = choose_ticket(queue, state.ledger, pool, now, state.order)
         open_to = [c for c in candidates if c.upstream not in ticket.excluded]
         choice = choose_upstream(open_to or candidates, ticket.prefix, state.hints, now)
         if not state.holder.take(choice.upstream, now):
@@ -75,11 +75,11 @@
     ticket.charge = cost / ticket.weight
     ticket.settled = 0.0
     ticket.dispatched = now
-    state.ledger.note_waiting(ticket.key, -1)
+    state.ledger.add_waiting(ticket.key, -1)
     note_served(state, ticket.pool, ticket.account)
     state.ledger.charge(ticket.key, ticket.charge)
-    state.ledger.mirror_charge(ticket.key, ticket.charge)
-    state.health.note_dispatch(choice.upstream)
+    state.ledger.add_pending_at_peers(ticket.key, ticket.charge)
+    state.health.record_dispatch(choice.upstream)
     up = state.upstreams[choice.upstream]
     ticket.placement = Placement(up.name, up.address, choice.reason)
     waited = now - ticket.arrived
--- a/packages/valeweir_router/src/valeweir_router/entering.py
+++ b/packages/valeweir_router/src/valeweir_router/entering.py
@@ -2,7 +2,7 @@
 
 from valeweir.models import OUTCOME_HEADER, REQUEST_ID_HEADER, Outcome, Refusal
 from valeweir_callers.demands import get_bearer, parse_demand
-from valeweir_sharing.limits import find_excess, get_retry_after
+from valeweir_sharing.limits import find_exceeded_limit, get_retry_after
 
 from .states import Ticket
 
@@ -54,7 +54,7 @@
         return _refuse_unready()
     part = state.get_part(account)
     size = len(request.body)
-    excess = find_excess(
+    excess = find_exceeded_limit(
         state.limits, state.occupancy, account, part, demand.work_class, size
     )
     if excess is not None:
--- a/packages/valeweir_router/src/valeweir_router/gossip.py
+++ b/packages/valeweir_router/src/valeweir_router/gossip.py
@@ -25,7 +25,7 @@
     ViewQuery,
 )
 from valeweir_fleet.peers import Member
-from valeweir_sharing.usage import Key, Report
+from valeweir_sharing.usage import Report, ServiceKey
 
 from . import claims, dispatching, granting, histories, holding, owning
 
@@ -128,10 +128,10 @@
     peer.echo = max(peer.echo, digest.echo)
     peer.leaving = digest.leaving
     peer.config_offset = digest.config_offset
-    state.holder.note_echo(peer.source, digest.echo)
+    state.holder.renew_leases(peer.source, digest.echo)
     refresh_live(state)
     reports = [
-        (Key(pool.pool, state.account_names[number]), Report(*figures))
+        (ServiceKey(pool.pool, state.account_names[number]), Report(*figures))
         for pool in digest.pools
         for number, figures in pool.accounts.items()
         if number in state.account_names
@@ -158,7 +158,7 @@
 
 def _handle_offer(state, peer, offer):
     peer.echo = max(peer.echo, offer.echo)
-    state.holder.note_echo(peer.source, offer.echo)
+    state.holder.renew_leases(peer.source, offer.echo)
     dispatching.merge_grants(state, peer.source, offer.grants)
     holding.answer_recall(state, offer.recall)
 
@@ -293,4 +293,4 @@
 
 
 def _get_clamp(state, pool):
-    return state.cfg["sharing"]["clamp"] * state.ledger.get_unit(pool)
+    return state.cfg["sharing"]["clamp"] * state.ledger.get_mean_charge(pool)
--- a/packages/valeweir_router/src/valeweir_router/granting.py
+++ b/packages/valeweir_router/src/valeweir_router/granting.py
@@ -4,8 +4,8 @@
 """
 
 from valeweir_fleet.messages import Offer
-from valeweir_sharing.slot_assignment import Want, plan_floats, plan_gifts
-from valeweir_sharing.usage import Key
+from valeweir_sharing.slot_assignment import SlotDemand, assign_idle_slots, assign_slots
+from valeweir_sharing.usage import ServiceKey
 
 from . import dispatching
 
@@ -25,7 +25,7 @@
         return
     dry = _find_dry(state, pool, {want.holder for want in wants}, now)
     prefer = _prefer_for(state)
-    gifts = plan_gifts(pool, free, wants, state.ledger, prefer, state.rng, dry)
+    gifts = assign_slots(pool, free, wants, state.ledger, prefer, state.rng, dry)
     deliver(state, gifts, now)
 
 
@@ -62,7 +62,7 @@
                 for holder, entry in state.tables[name].entries.items():
                     if holder in held:
                         held[holder] += entry.slots - entry.used
-        deliver(state, plan_floats(free, held, limit), now)
+        deliver(state, assign_idle_slots(free, held, limit), now)
 
 
 def deliver(state, gifts, now):
@@ -72,7 +72,7 @@
         state.tables[gift.upstream].grant(gift.holder, 1, now)
         if gift.account is not None and gift.holder != state.source:
             pool = state.upstreams[gift.upstream].pool
-            state.ledger.take_demand(gift.holder, Key(pool, gift.account))
+            state.ledger.deduct_demand(gift.holder, ServiceKey(pool, gift.account))
         grants.setdefault(gift.holder, set()).add(gift.upstream)
     for holder, names in grants.items():
         rows = [state.tables[name].get_grant(holder) for name in sorted(names)]
@@ -95,10 +95,10 @@
 
 def _get_wants(state, pool):
     own = state.ledger.get_own_waiting(pool)
-    wants = [Want(state.source, account, count) for account, count in own.items()]
+    wants = [SlotDemand(state.source, account, count) for account, count in own.items()]
     for peer in state.peers.get_live():
         demand = state.ledger.get_demand(peer.source, pool)
-        wants += [Want(peer.source, a, count) for a, count in demand.items()]
+        wants += [SlotDemand(peer.source, a, count) for a, count in demand.items()]
     return wants
 
 
--- a/packages/valeweir_router/src/valeweir_router/holding.py
+++ b/packages/valeweir_router/src/valeweir_router/holding.py
@@ -6,7 +6,7 @@
 from loguru import logger
 from valeweir import metrics
 from valeweir_fleet.messages import Ask
-from valeweir_sharing.usage import Key
+from valeweir_sharing.usage import ServiceKey
 
 from . import granting, owning
 
@@ -66,7 +66,7 @@
     """Return free slots to their owner, which grants them anew at once."""
     if not _can_return(state, upstream):
         return
-    given = state.holder.give_back(upstream, count)
+    given = state.holder.return_slots(upstream, count)
     if not given:
         return
     metrics.slot_moves.labels("back").inc(given)
@@ -120,7 +120,7 @@
 
 def renew_own(state):
     """Extend the leases that this router holds of itself."""
-    state.holder.note_echo(state.source, state.clock())
+    state.holder.renew_leases(state.source, state.clock())
 
 
 def drop_lapsed(state):
@@ -137,11 +137,11 @@
     slot that frees in the meantime.
     """
     for _ in range(count):
-        least = state.ledger.get_least_elsewhere(pool)
+        least = state.ledger.get_least_served_elsewhere(pool)
         if least is None:
             return
-        unit = state.ledger.get_unit(pool)
-        state.ledger.add_pending("predicted", Key(pool, least[1]), unit)
+        unit = state.ledger.get_mean_charge(pool)
+        state.ledger.add_pending("predicted", ServiceKey(pool, least[1]), unit)
 
 
 def _get_held(state, names):
--- a/packages/valeweir_router/src/valeweir_router/owning.py
+++ b/packages/valeweir_router/src/valeweir_router/owning.py
@@ -9,7 +9,7 @@
 from loguru import logger
 from valeweir import metrics
 from valeweir_fleet.messages import Handover
-from valeweir_sharing.leases import MARGIN, Held, Table
+from valeweir_sharing.leases import LEASE_MARGIN_S, Held, Table
 from valeweir_sharing.ownership import choose_owner, get_candidates, get_group
 
 from . import dispatching
@@ -23,9 +23,9 @@
     state.last_tick = now
     if not paused:
         return
-    settled_at = now + state.holder.lease_time + MARGIN
+    recovery_ends_at = now + state.holder.lease_time + LEASE_MARGIN_S
     for table in state.tables.values():
-        table.renew(max(table.epoch + 1, int(time.time())), settled_at)
+        table.renew(max(table.epoch + 1, int(time.time())), recovery_ends_at)
     if state.tables:
         logger.bind(upstreams=len(state.tables)).warning("paused, tenures renewed")
 
@@ -124,13 +124,13 @@
 
 
 def _update_tables(state, now):
-    settled_at = now + state.holder.lease_time + MARGIN
+    recovery_ends_at = now + state.holder.lease_time + LEASE_MARGIN_S
     for name, up in state.upstreams.items():
         mine = state.owners.get(name) == state.source
         table = state.tables.get(name)
         if mine and table is None:
             epoch = _get_next_epoch(state, name)
-            state.tables[name] = Table(name, up.slots, epoch, settled_at)
+            state.tables[name] = Table(name, up.slots, epoch, recovery_ends_at)
             logger.bind(upstream=name, epoch=epoch).info("ownership taken")
             _use_handover(state, name, now)
         elif mine:
@@ -156,7 +156,7 @@
         seq=state.next_seq(),
         upstream=table.upstream,
         epoch=table.epoch,
-        wait=max(0.0, table.settled_at - now),
+        wait=max(0.0, table.recovery_ends_at - now),
         holders={h: entry.slots for h, entry in table.entries.items()},
     )
     state.links.send(state.peers.get_address(peer), handover)
@@ -184,8 +184,8 @@
 
 def _outbid(state, table, rival, now):
     """Start a higher tenure after another owner's, if it is our turn to own."""
-    settled_at = now + state.holder.lease_time + MARGIN
-    table.renew(max(rival + 1, int(time.time())), settled_at)
+    recovery_ends_at = now + state.holder.lease_time + LEASE_MARGIN_S
+    table.renew(max(rival + 1, int(time.time())), recovery_ends_at)
     logger.bind(upstream=table.upstream, epoch=table.epoch).warning("epoch raised")
 
 
--- a/packages/valeweir_router/src/valeweir_router/scheduler.py
+++ b/packages/valeweir_router/src/valeweir_router/scheduler.py
@@ -4,7 +4,7 @@
 """
 
 from valeweir import metrics
-from valeweir_sharing.queues import get_least_served
+from valeweir_sharing.queues import get_least_service
 from valeweir_sharing.slot_assignment import should_hand_back
 
 from . import dispatching, holding
@@ -26,7 +26,7 @@
     """Take a ticket out of the queue; False where it has a slot by now."""
     if not state.get_queue(ticket.pool).remove(ticket):
         return False
-    state.ledger.note_waiting(ticket.key, -1)
+    state.ledger.add_waiting(ticket.key, -1)
     return True
 
 
@@ -73,8 +73,8 @@
         # What is still here must end before the process does.
         dispatching.dispatch(state, pool)
         return
-    least = get_least_served(state.get_queue(pool), state.ledger, pool)
-    elsewhere = state.ledger.get_least_elsewhere(pool)
+    least = get_least_service(state.get_queue(pool), state.ledger, pool)
+    elsewhere = state.ledger.get_least_served_elsewhere(pool)
     there = elsewhere[0] if elsewhere else None
     if should_hand_back(least, there, state.get_slack(pool)):
         holding.hand_back(state, upstream, 1)
@@ -82,7 +82,7 @@
 
 
 def _queue(state, ticket, add):
-    state.ledger.note_waiting(ticket.key, 1)
+    state.ledger.add_waiting(ticket.key, 1)
     add(ticket)
     dispatching.dispatch(state, ticket.pool)
     if ticket.placement is None:
--- a/packages/valeweir_router/src/valeweir_router/states.py
+++ b/packages/valeweir_router/src/valeweir_router/states.py
@@ -10,14 +10,14 @@
 from valeweir_fleet.peers import Peers
 from valeweir_sharing.accounting import Ledger
 from valeweir_sharing.choice import PrefixHints
-from valeweir_sharing.digest_interval import Pace
-from valeweir_sharing.estimates import Estimates
-from valeweir_sharing.health import Health
+from valeweir_sharing.digest_interval import DigestInterval
+from valeweir_sharing.estimates import CostEstimates
+from valeweir_sharing.health import UpstreamHealth
 from valeweir_sharing.idempotency_keys import KeyTable
-from valeweir_sharing.leases import Holder
-from valeweir_sharing.limits import EntryLimits, Occupancy, RetryBudget
+from valeweir_sharing.leases import LeaseHolder
+from valeweir_sharing.limits import AdmissionLimits, Occupancy, RetryBudget
 from valeweir_sharing.queues import OrderSettings, PoolQueue
-from valeweir_sharing.usage import Key
+from valeweir_sharing.usage import ServiceKey
 
 
 class Upstream(NamedTuple):
@@ -79,7 +79,7 @@
     @property
     def key(self):
         """The ledger's key."""
-        return Key(self.pool, self.account)
+        return ServiceKey(self.pool, self.account)
 
 
 class RouterState:
@@ -115,9 +115,9 @@
         self.ledger = Ledger()
         self.ledger.complete = False
         self.greeted = set()
-        self.estimates = Estimates()
+        self.estimates = CostEstimates()
         self.queues = {}
-        self.holder = Holder(cfg["fleet"]["lease"])
+        self.holder = LeaseHolder(cfg["fleet"]["lease"])
         self.tables = {}
         self.owners = {}
         self.owned = {}
@@ -130,8 +130,8 @@
         self.ask_due = set()
         self.idle_low = {}
         self.peers = Peers(cfg["fleet"]["lease"] / 2)
-        self.pace = Pace(cfg["fleet"])
-        self.health = Health(self.rng)
+        self.pace = DigestInterval(cfg["fleet"])
+        self.health = UpstreamHealth(self.rng)
         self.hints = PrefixHints()
         self.loads = {}
         self.occupancy = Occupancy()
@@ -153,7 +153,7 @@
         sharing = cfg["sharing"]
         self.order = OrderSettings(sharing["class_bonus"], sharing["aging"])
         callers = cfg["callers"]
-        self.limits = EntryLimits(
+        self.limits = AdmissionLimits(
             callers["max_waiting"], callers["max_waiting_body"], callers["max_body"]
         )
 
@@ -176,7 +176,7 @@
     def get_slack(self, pool):
         """Return the hand-back slack in cost per weight."""
         slack = self.cfg["sharing"]["slack"] * self.pace.pressure
-        return slack * self.ledger.get_unit(pool)
+        return slack * self.ledger.get_mean_charge(pool)
 
     def next_seq(self):
         """Return the number of the next message sent."""
--- a/packages/valeweir_router/src/valeweir_router/views.py
+++ b/packages/valeweir_router/src/valeweir_router/views.py
@@ -1,6 +1,6 @@
 """The state as operators see it."""
 
-from valeweir_sharing.usage import Key
+from valeweir_sharing.usage import ServiceKey
 
 
 def get_resource_status(state, res):
@@ -77,7 +77,7 @@
                 "held_here": held.slots if held else 0,
                 "used_here": held.used if held else 0,
                 "leased_out": table.outstanding if table else None,
-                "settled": bool(table and state.clock() >= table.settled_at),
+                "settled": bool(table and state.clock() >= table.recovery_ends_at),
             }
         )
     return rows
@@ -88,13 +88,13 @@
     for pool in sorted(state.pools):
         waiting = state.ledger.get_waiting(pool)
         for account in sorted(state.configuration.resources["client-accounts"]):
-            key = Key(pool, account)
+            key = ServiceKey(pool, account)
             rows.append(
                 {
                     "pool": pool,
                     "account": account,
                     "weight": state.get_weight(pool, account),
-                    "virtual_service": round(state.ledger.get_virtual(key)),
+                    "virtual_service": round(state.ledger.get_virtual_service(key)),
                     "waiting": waiting.get(account, 0),
                 }
             )
--- a/packages/valeweir_sharing/src/valeweir_sharing/accounting.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/accounting.py
@@ -9,7 +9,14 @@
 to the least-served backlogged one, so that idle accounts accumulate no credit.
 """
 
-from valeweir_sharing.usage import History, Key, Report, SourceState, Usage, set_count
+from valeweir_sharing.usage import (
+    History,
+    Report,
+    ServiceKey,
+    SourceState,
+    Usage,
+    set_count,
+)
 
 # How far below the front an account that starts to wait may be, in mean requests.
 _ENTRY_ALLOWANCE_REQUESTS = 4.0
@@ -52,12 +59,12 @@
 
     # -- queries ---------------------------------------------------------
 
-    def get_virtual(self, key):
+    def get_virtual_service(self, key):
         """Return the virtual service of ``key``, in cost per weight."""
         total = self.lifts.get(key, 0.0) + self._get_service(key)
         return total + self._pending_sum.get(key, 0.0)
 
-    def get_unit(self, pool):
+    def get_mean_charge(self, pool):
         """Return the mean charge of a request of ``pool``, in cost per weight."""
         return self.mean_charges.get(pool, 1.0)
 
@@ -72,7 +79,7 @@
             totals[account] = totals.get(account, 0) + count
         return totals
 
-    def get_least_elsewhere(self, pool):
+    def get_least_served_elsewhere(self, pool):
         """Return ``(virtual service, account)`` of the least-served account elsewhere.
 
         Only accounts that wait at other routers count; None if there is none.
@@ -80,11 +87,11 @@
         waiting = self.elsewhere.get(pool)
         if not waiting:
             return None
-        return min((self.get_virtual(Key(pool, a)), a) for a in waiting)
+        return min((self.get_virtual_service(ServiceKey(pool, a)), a) for a in waiting)
 
     # -- own service -----------------------------------------------------
 
-    def note_waiting(self, key, delta):
+    def add_waiting(self, key, delta):
         """Count a request that joins (1) or leaves (-1) the queue.
 
         An account that was not waiting anywhere is lifted at least to the
@@ -100,7 +107,7 @@
 
     def charge(self, key, estimate):
         """Charge ``estimate`` (cost per weight) at dispatch."""
-        before = self.get_virtual(key)
+        before = self.get_virtual_service(key)
         front = self.fronts.get(key.pool, 0.0)
         self.fronts[key.pool] = max(front, before)
         mean_charge = self.mean_charges.get(key.pool, estimate)
@@ -119,7 +126,7 @@
         usage.settled += actual
         self.dirty.add(key)
 
-    def mirror_charge(self, key, amount):
+    def add_pending_at_peers(self, key, amount):
         """Add ``amount`` as pending at every live router where ``key`` waits.
 
         Between two reports all routers see the same account as the least
@@ -155,11 +162,13 @@
         waiting = self.get_waiting(pool) if self.complete else {}
         if len(waiting) < 2:
             return 0
-        virtual = {a: self.get_virtual(Key(pool, a)) for a in waiting}
+        virtual = {a: self.get_virtual_service(ServiceKey(pool, a)) for a in waiting}
         least_allowed = max(virtual.values()) - bound
         lifted = [a for a, value in virtual.items() if value < least_allowed]
         for account in lifted:
-            self._raise_lift(Key(pool, account), least_allowed - virtual[account])
+            self._raise_lift(
+                ServiceKey(pool, account), least_allowed - virtual[account]
+            )
         return len(lifted)
 
     # -- merging ---------------------------------------------------------
@@ -190,7 +199,7 @@
         state = self.sources.setdefault(source, SourceState())
         self._restore_deducted(state)
         for account in set(state.waiting.get(pool, ())) | set(waiting):
-            key = Key(pool, account)
+            key = ServiceKey(pool, account)
             old = state.reports.get(key, Report(0.0, 0.0, 0.0, 0))
             count = waiting.get(account, 0)
             if state.live:
@@ -198,7 +207,7 @@
             state.reports[key] = old._replace(waiting=count)
             state.set_waiting(key, count)
 
-    def take_demand(self, source, key):
+    def deduct_demand(self, source, key):
         """Deduct a request waiting at ``source`` that has been granted a slot.
 
         The next report restores the deducted requests. The router may use the
@@ -235,7 +244,7 @@
         """Move a dead incarnation's settled service from ``sources`` to ``base``.
 
         The total of settled service does not change, and neither does virtual
-        service. The name is kept until `forget_retired`, so that late reports
+        service. The name is kept until `drop_retired`, so that late reports
         are ignored.
         """
         state = self.sources.get(source)
@@ -248,7 +257,7 @@
             self.base[key] = self.base.get(key, 0.0) + report.settled
             self._add_others_service(key, -report.settled)
 
-    def forget_retired(self, before):
+    def drop_retired(self, before):
         """Delete the names of incarnations retired earlier than ``before``."""
         old = [source for source, at in self.retired.items() if at < before]
         for source in old:
@@ -319,14 +328,16 @@
         front = self.fronts.get(key.pool, 0.0)
         floor = front
         if waiting:
-            services = sorted(self.get_virtual(Key(key.pool, a)) for a in waiting)
+            services = sorted(
+                self.get_virtual_service(ServiceKey(key.pool, a)) for a in waiting
+            )
             # The least-served accounts may have started to wait at other routers
             # whose lifts are not known here yet, and the front may come from a
             # single account far ahead. The upper quartile depends on neither.
             quartile = services[len(services) * 3 // 4]
-            allowance = _ENTRY_ALLOWANCE_REQUESTS * self.get_unit(key.pool)
+            allowance = _ENTRY_ALLOWANCE_REQUESTS * self.get_mean_charge(key.pool)
             floor = max(services[0], min(quartile, front) - allowance)
-        deficit = floor - self.get_virtual(key)
+        deficit = floor - self.get_virtual_service(key)
         if deficit > 0:
             self._raise_lift(key, deficit)
 
--- a/packages/valeweir_sharing/src/valeweir_sharing/digest_interval.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/digest_interval.py
@@ -8,7 +8,7 @@
 MIN_INTERVALS_PER_LEASE = 6
 
 
-class Pace:
+class DigestInterval:
     """The interval between digests, and a factor that reduces slot transfers.
 
     While the router sends more bytes than the budget allows, the interval
--- a/packages/valeweir_sharing/src/valeweir_sharing/estimates.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/estimates.py
@@ -4,7 +4,7 @@
 _DEFAULT_COST = 100.0
 
 
-class Estimates:
+class CostEstimates:
     """Exponentially weighted moving averages of measured request costs.
 
     Averages are kept by (pool, account, class), by (pool, class) and by pool.
--- a/packages/valeweir_sharing/src/valeweir_sharing/health.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/health.py
@@ -17,7 +17,7 @@
         self.probing = False
 
 
-class Health:
+class UpstreamHealth:
     """Ejection states of all upstreams.
 
     An upstream is ejected after consecutive errors, for a pause that doubles
@@ -65,7 +65,7 @@
         state = self._states.get(upstream)
         return state is not None and now < state.ejected_until
 
-    def note_dispatch(self, upstream):
+    def record_dispatch(self, upstream):
         """Record a request sent; the first one after a pause is the probe."""
         state = self._states.get(upstream)
         if state is not None and state.ejected_until > 0:
--- a/packages/valeweir_sharing/src/valeweir_sharing/idempotency_keys.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/idempotency_keys.py
@@ -16,7 +16,7 @@
 RETENTION_S = 300.0
 
 
-class Claimed(StrEnum):
+class ClaimAnswer(StrEnum):
     """A holder's answer to a claim.
 
     ``DUPLICATE``: another request has claimed the key. ``INCOMPLETE``: the claim
@@ -51,7 +51,7 @@
         self.complete = False
 
     def claim(self, key, request, now):
-        """Record a claim and return the `Claimed` answer.
+        """Record a claim and return the `ClaimAnswer` answer.
 
         A holder that has just started may have lost a claim of the key. It
         records new claims, but its answers do not count towards a majority
@@ -59,9 +59,9 @@
         """
         record = self.records.get(key)
         if record is not None and record.request != request:
-            return Claimed.DUPLICATE
+            return ClaimAnswer.DUPLICATE
         self.records[key] = ClaimRecord(key, request, now)
-        return Claimed.GRANTED if self.complete else Claimed.INCOMPLETE
+        return ClaimAnswer.GRANTED if self.complete else ClaimAnswer.INCOMPLETE
 
     def release(self, key, request):
         """Delete a claim whose call was certainly not run."""
@@ -94,7 +94,7 @@
     return ranked[:HOLDER_COUNT]
 
 
-def judge_claim(answers, holder_count):
+def evaluate_claim(answers, holder_count):
     """Return True to send the call, False to refuse it, None if undecided.
 
     Parameters
@@ -105,10 +105,10 @@
         Number of holders of the key.
     """
     statuses = list(answers.values())
-    if Claimed.DUPLICATE in statuses:
+    if ClaimAnswer.DUPLICATE in statuses:
         return False
     majority = holder_count // 2 + 1
-    if statuses.count(Claimed.GRANTED) >= majority:
+    if statuses.count(ClaimAnswer.GRANTED) >= majority:
         return True
     return None
 
--- a/packages/valeweir_sharing/src/valeweir_sharing/leases.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/leases.py
@@ -9,7 +9,7 @@
 
 from typing import NamedTuple
 
-MARGIN = 0.2
+LEASE_MARGIN_S = 0.2
 
 
 class Claim(NamedTuple):
@@ -61,7 +61,7 @@
         return max(0, self.slots - self.used)
 
 
-class Holder:
+class LeaseHolder:
     """All slots that one router holds.
 
     Attributes
@@ -80,7 +80,7 @@
         self.heard = {}
         self.lapses = 0
 
-    def note_echo(self, owner, sent_at):
+    def renew_leases(self, owner, sent_at):
         """Extend the leases of ``owner``, which has echoed send time ``sent_at``."""
         self.heard[owner] = max(self.heard.get(owner, 0.0), sent_at)
 
@@ -120,7 +120,7 @@
         """Free the slot of a request that has ended."""
         self.held[upstream].used -= 1
 
-    def give_back(self, upstream, count):
+    def return_slots(self, upstream, count):
         """Mark up to ``count`` free slots as returned; return their number."""
         held = self.held.get(upstream)
         if held is None:
@@ -187,11 +187,11 @@
         run out, so that slots not claimed by their holders are free.
     """
 
-    def __init__(self, upstream, capacity, epoch, settled_at):
+    def __init__(self, upstream, capacity, epoch, recovery_ends_at):
         self.upstream = upstream
         self.capacity = capacity
         self.epoch = epoch
-        self.settled_at = settled_at
+        self.recovery_ends_at = recovery_ends_at
         self.entries = {}
         self._last_lease = 0
         self._returned_in_recovery = 0
@@ -208,7 +208,7 @@
         that holders with adopted claims have returned since.
         """
         unleased = max(0, self.capacity - self.outstanding)
-        if now < self.settled_at:
+        if now < self.recovery_ends_at:
             return min(self._returned_in_recovery, unleased)
         return unleased
 
@@ -220,7 +220,7 @@
         if claim.epoch < self.epoch:
             if entry is None:
                 # A claim of an earlier epoch counts only while its lease may run.
-                adopted = claim.held if now < self.settled_at else 0
+                adopted = claim.held if now < self.recovery_ends_at else 0
                 entry = self.add_holder(holder, adopted, now)
             entry.seen = now
         elif entry is not None and entry.lease == claim.lease:
@@ -274,23 +274,23 @@
         for holder, slots in holders.items():
             if holder not in self.entries:
                 self.add_holder(holder, slots, now)
-        self.settled_at = min(self.settled_at, ready_at)
+        self.recovery_ends_at = min(self.recovery_ends_at, ready_at)
 
     def expire(self, now, lease_time):
         """Delete the leases of holders without a recent claim; return their names.
 
-        The owner waits for `MARGIN` longer than the holders do, so that a lease
+        The owner waits for `LEASE_MARGIN_S` longer than the holders do, so that a lease
         has lapsed at its holder before its slots are granted again.
         """
-        cutoff = now - lease_time - MARGIN
+        cutoff = now - lease_time - LEASE_MARGIN_S
         expired = [h for h, entry in self.entries.items() if entry.seen < cutoff]
         for holder in expired:
             del self.entries[holder]
         return expired
 
-    def renew(self, epoch, settled_at):
+    def renew(self, epoch, recovery_ends_at):
         """Start a new epoch, above that of another owner, with an empty table."""
         self.epoch = epoch
-        self.settled_at = settled_at
+        self.recovery_ends_at = recovery_ends_at
         self.entries = {}
         self._returned_in_recovery = 0
--- a/packages/valeweir_sharing/src/valeweir_sharing/limits.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/limits.py
@@ -10,7 +10,7 @@
 _MAX_RETRY_AFTER_S = 30.0
 
 
-class EntryLimits(NamedTuple):
+class AdmissionLimits(NamedTuple):
     """Limits of one router as a whole; body sizes are in bytes."""
 
     max_waiting: int
@@ -62,7 +62,9 @@
     return max(_MIN_REQUEST_COUNT, int(max_requests))
 
 
-def find_excess(limits, occupancy, account, weight_ratio, work_class, body_size):
+def find_exceeded_limit(
+    limits, occupancy, account, weight_ratio, work_class, body_size
+):
     """Return the name of the limit that a new request would exceed, or None."""
     if occupancy.waiting >= limits.max_waiting:
         return "router-full"
--- a/packages/valeweir_sharing/src/valeweir_sharing/queues.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/queues.py
@@ -5,7 +5,7 @@
 
 from valeweir.models import CLASS_PRIORITY
 
-from valeweir_sharing.usage import Key
+from valeweir_sharing.usage import ServiceKey
 
 
 class OrderSettings(NamedTuple):
@@ -57,14 +57,14 @@
             del self.accounts[ticket.account]
 
 
-def get_least_served(queue, ledger, pool):
+def get_least_service(queue, ledger, pool):
     """Return the least virtual service of the accounts in ``queue``, or None."""
     if not queue.accounts:
         return None
-    return min(ledger.get_virtual(Key(pool, a)) for a in queue.accounts)
+    return min(ledger.get_virtual_service(ServiceKey(pool, a)) for a in queue.accounts)
 
 
-def pick_ticket(queue, ledger, pool, now, order):
+def choose_ticket(queue, ledger, pool, now, order):
     """Return the ticket to dispatch next, or None; the ticket stays queued.
 
     The account with the least virtual service goes first. An urgent or aged
@@ -74,9 +74,9 @@
     """
     best = None
     best_score = None
-    max_bonus = order.class_bonus * ledger.get_unit(pool)
+    max_bonus = order.class_bonus * ledger.get_mean_charge(pool)
     for account, classes in queue.accounts.items():
-        virtual = ledger.get_virtual(Key(pool, account))
+        virtual = ledger.get_virtual_service(ServiceKey(pool, account))
         for work_class, tickets in classes.items():
             head = tickets[0]
             urgency = get_urgency(work_class, now - head.arrived, order.aging)
--- a/packages/valeweir_sharing/src/valeweir_sharing/slot_assignment.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/slot_assignment.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-from valeweir_sharing.usage import Key
+from valeweir_sharing.usage import ServiceKey
 
 
-class Want(NamedTuple):
+class SlotDemand(NamedTuple):
     """The number of an account's requests that wait at one holder."""
 
     holder: str
@@ -25,7 +25,7 @@
     account: str | None
 
 
-def plan_gifts(pool, free, demands, ledger, select_upstream, rng, starved=()):
+def assign_slots(pool, free, demands, ledger, select_upstream, rng, starved=()):
     """Assign free slots, one at a time, to the least-served waiting accounts.
 
     Parameters
@@ -54,7 +54,7 @@
     for demand in demands:
         holders_by_account.setdefault(demand.account, {})[demand.holder] = demand.count
     assignments = []
-    mean_charge = ledger.get_unit(pool)
+    mean_charge = ledger.get_mean_charge(pool)
     starved = [demand for demand in demands if demand.holder in starved]
     while holders_by_account:
         free_upstreams = [u for u, count in free.items() if count > 0]
@@ -62,7 +62,8 @@
             break
         eligible_accounts = [demand.account for demand in starved] or holders_by_account
         account = min(
-            eligible_accounts, key=lambda a: (ledger.get_virtual(Key(pool, a)), a)
+            eligible_accounts,
+            key=lambda a: (ledger.get_virtual_service(ServiceKey(pool, a)), a),
         )
         holders = holders_by_account[account]
         starved_holders = [w.holder for w in starved if w.account == account]
@@ -75,14 +76,14 @@
             continue
         free[upstream] -= 1
         assignments.append(SlotAssignment(holder, upstream, account))
-        ledger.add_pending(holder, Key(pool, account), mean_charge)
+        ledger.add_pending(holder, ServiceKey(pool, account), mean_charge)
         holders[holder] -= 1
         if holders[holder] <= 0:
             _drop(holders_by_account, account, holder)
     return assignments
 
 
-def plan_floats(free, held, limit):
+def assign_idle_slots(free, held, limit):
     """Assign idle slots to the holders with the fewest, up to ``limit`` each.
 
     Parameters
--- a/packages/valeweir_sharing/src/valeweir_sharing/usage.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/usage.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class Key(NamedTuple):
+class ServiceKey(NamedTuple):
     """Key of the service accounting."""
 
     pool: str
@@ -35,10 +35,10 @@
     by their names.
     """
 
-    base: dict[Key, float]
+    base: dict[ServiceKey, float]
     retired: list[str]
-    lifts: dict[Key, float]
-    silent: dict[str, dict[Key, float]]
+    lifts: dict[ServiceKey, float]
+    silent: dict[str, dict[ServiceKey, float]]
 
 
 class Usage:
