--- a/packages/valeweir_sharing/src/valeweir_sharing/limits.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/limits.py
@@ -1,17 +1,17 @@
-"""Limits at the entry: how much of a router one client account may occupy."""
+"""Admission limits: how much of a router one client account may occupy."""
 
 from typing import NamedTuple
 
 from valeweir.models import WorkClass
 
 _SHARE_FACTOR = 4.0
-_MIN_PLACES = 8
+_MIN_REQUEST_COUNT = 8
 _READING_RATIO = 0.75
-_MAX_RETRY_AFTER = 30.0
+_MAX_RETRY_AFTER_S = 30.0
 
 
-class EntryLimits(NamedTuple):
-    """Totals of one router; sizes in bytes."""
+class AdmissionLimits(NamedTuple):
+    """Limits of one router as a whole; body sizes are in bytes."""
 
     max_waiting: int
     max_waiting_body: int
@@ -19,90 +19,100 @@
 
 
 class Occupancy:
-    """Queue places and body memory in use, in total and by account."""
+    """Admitted requests and the bytes of their bodies, in total and by account."""
 
     def __init__(self):
         self.waiting = 0
-        self.body = 0
+        self.body_bytes = 0
         self._by_account = {}
 
     def get(self, account):
         """Return ``(requests, bytes)`` of an account."""
         return self._by_account.get(account, (0, 0))
 
-    def add(self, account, size):
-        """Count a request from its arrival."""
-        count, body = self.get(account)
-        self._by_account[account] = (count + 1, body + size)
+    def add(self, account, body_size):
+        """Count a request on admission."""
+        count, body_bytes = self.get(account)
+        self._by_account[account] = (count + 1, body_bytes + body_size)
         self.waiting += 1
-        self.body += size
+        self.body_bytes += body_size
 
-    def remove(self, account, size):
-        """Count a request's end."""
-        count, body = self.get(account)
+    def remove(self, account, body_size):
+        """Remove a request from the counts when it ends."""
+        count, body_bytes = self.get(account)
         if count <= 1:
             self._by_account.pop(account, None)
         else:
-            self._by_account[account] = (count - 1, body - size)
+            self._by_account[account] = (count - 1, body_bytes - body_size)
         self.waiting -= 1
-        self.body -= size
+        self.body_bytes -= body_size
 
 
-def get_places(limits, part, work_class):
-    """Return how many requests an account may have at this router.
+def get_max_requests(limits, weight_ratio, work_class):
+    """Return how many requests an account may have at this router at once.
 
     Parameters
     ----------
-    part : float
+    weight_ratio : float
         The account's weight over the sum of all weights, 0 to 1.
     """
-    places = limits.max_waiting * min(1.0, _SHARE_FACTOR * part)
+    max_requests = limits.max_waiting * min(1.0, _SHARE_FACTOR * weight_ratio)
     if work_class is WorkClass.READING:
-        places *= _READING_RATIO
-    return max(_MIN_PLACES, int(places))
+        max_requests *= _READING_RATIO
+    return max(_MIN_REQUEST_COUNT, int(max_requests))
 
 
-def find_excess(limits, occupancy, account, part, work_class, size):
-    """Return the name of the limit that a new request breaks, or None."""
+def find_exceeded_limit(
+    limits, occupancy, account, weight_ratio, work_class, body_size
+):
+    """Return the name of the limit that a new request would exceed, or None."""
     if occupancy.waiting >= limits.max_waiting:
         return "router-full"
-    if occupancy.body + size > limits.max_waiting_body:
+    if occupancy.body_bytes + body_size > limits.max_waiting_body:
         return "router-memory"
-    count, body = occupancy.get(account)
-    if count >= get_places(limits, part, work_class):
+    count, body_bytes = occupancy.get(account)
+    if count >= get_max_requests(limits, weight_ratio, work_class):
         return "account-places"
-    memory = limits.max_waiting_body * min(1.0, _SHARE_FACTOR * part)
-    if body + size > max(memory, limits.max_body):
+    max_body_bytes = limits.max_waiting_body * min(1.0, _SHARE_FACTOR * weight_ratio)
+    if body_bytes + body_size > max(max_body_bytes, limits.max_body):
         return "account-memory"
     return None
 
 
 def get_retry_after(waiting, rate, rng):
-    """Return whole seconds after which a refused caller should come back.
+    """Return the whole seconds after which a refused client should retry.
 
-    The time to work off half of what waits, spread so that refused callers
-    do not all return together.
+    This is the time to serve half of the waiting requests, with random jitter
+    so that refused clients do not all retry at the same time.
     """
-    expected = waiting / max(rate, 1.0) / 2
-    spread = rng.uniform(0.5, 1.5)
-    return max(1, round(min(expected, _MAX_RETRY_AFTER) * spread))
+    wait_s = waiting / max(rate, 1.0) / 2
+    spread_factor = rng.uniform(0.5, 1.5)
+    return max(1, round(min(wait_s, _MAX_RETRY_AFTER_S) * spread_factor))
 
 
 class RetryBudget:
-    """Tokens that bound an account's retries to a part of its requests."""
+    """Token buckets that limit an account's retries to a ratio of its requests.
 
-    def __init__(self, part=0.1, reserve=5.0):
-        self._part = part
+    Parameters
+    ----------
+    ratio : float
+        Tokens added for each request; a retry uses one token.
+    reserve : float
+        Tokens of an account at the start; a bucket holds at most twice as many.
+    """
+
+    def __init__(self, ratio=0.1, reserve=5.0):
+        self._ratio = ratio
         self._reserve = reserve
         self._tokens = {}
 
     def earn(self, account):
-        """Credit one request."""
+        """Add the tokens of one request."""
         tokens = self._tokens.get(account, self._reserve)
-        self._tokens[account] = min(self._reserve * 2, tokens + self._part)
+        self._tokens[account] = min(self._reserve * 2, tokens + self._ratio)
 
     def spend(self, account):
-        """Take one retry; False where the budget is used up."""
+        """Use one token for a retry; return False if none is left."""
         tokens = self._tokens.get(account, self._reserve)
         if tokens < 1.0:
             return False
