--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -1,7 +1,11 @@
 """One send of a request to one upstream instance, and its answer."""
 
 from ..placement.candidates import find_obstacle, has_alternative
-from ..quarantine.crash_attribution import is_held, note_answered, note_broken_off
+from ..quarantine.crash_attribution import (
+    is_quarantined,
+    on_connection_broken,
+    on_request_answered,
+)
 from ..transport.answers import Head
 from ..upstreams import streams
 from ..upstreams.connections import MAX_IDLE, connect
@@ -68,16 +72,16 @@
         # would cost another request all of its time; a new one costs a round trip.
         state.connections.drop(instance.id)
     if failure is None:
-        note_answered(state, ctx)
+        on_request_answered(state, ctx)
     elif failure.broke_off:
         # Before the next send: it may be what ends them.
-        await note_broken_off(state, ctx, instance, work.sent)
+        await on_connection_broken(state, ctx, instance, work.sent)
     return failure
 
 
 def _find_obstacle(state, ctx, instance, now):
     """Return why the request may not be sent now, after all that it waited for."""
-    if is_held(state, ctx):
+    if is_quarantined(state, ctx):
         return "quarantined"
     if is_behind(state, now):
         return "view-old"
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
@@ -10,7 +10,11 @@
     take_permit,
 )
 from ..placement.choice import choose_engine, choose_instance
-from ..quarantine.crash_attribution import check_quarantine, is_held, refuse_held
+from ..quarantine.crash_attribution import (
+    check_quarantine,
+    is_quarantined,
+    refuse_quarantined,
+)
 from ..refusals import Refusal, send_refusal
 from ..transport.replies import ClientGone
 from ..upstreams.exchanges import Fault
@@ -149,8 +153,8 @@
 
 def _place(state, ctx, now):
     """Return the `Choice` for the next send, or a `Refusal`."""
-    if is_held(state, ctx):
-        return refuse_held(state, ctx)
+    if is_quarantined(state, ctx):
+        return refuse_quarantined(state, ctx)
     rows = find_candidates(state, ctx, now)
     if isinstance(rows, Refusal):
         return rows
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/repeating.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/repeating.py
@@ -35,7 +35,7 @@
     """
     if not state.suspects:
         return False
-    return state.suspects.get_count(ctx.fingerprint).upstreams > 1
+    return state.suspects.get_crash_count(ctx.fingerprint).upstreams > 1
 
 
 def downgrade_if_ambiguous(ctx, refusal):
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crashes.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crashes.py
@@ -14,23 +14,23 @@
 
 # Requests known at a time, 0.35 KB each, measured. Each crash adds at most the requests
 # that its upstream ran, some dozens.
-_MAX_SUSPECTS = 4_000
+_MAX_SUSPECT_COUNT = 4_000
 # Room is made for this part at once: ranking them all takes 0.6 ms.
 _TRIMMED_RATIO = 0.1
 # Crashes kept of a request; three decide.
-_MAX_CRASHES = 8
+_MAX_CRASH_COUNT = 8
 # Seconds after its last crash until a request is no longer suspect: far longer than
 # clients go on trying, and than an upstream takes to come back.
-_FORGET_AFTER = 600.0
+_SUSPECT_TTL_S = 600.0
 # Two ends of one upstream within so many seconds are the same one, seen by two
 # gateways. An upstream takes longer to come back and end once more.
-_SAME_END = 1.0
+_SAME_CRASH_WINDOW_S = 1.0
 # Ends of upstreams kept, and for how many seconds they tell how often upstreams end.
-_MAX_ENDS = 64
-_ENDS_WITHIN = 60.0
+_MAX_INSTANCE_CRASH_COUNT = 64
+_RECENT_CRASH_WINDOW_S = 60.0
 # Seconds for which a whole answer speaks for a request, also against crashes that
 # gateways tell of late.
-_CLEARED_FOR_S = 5.0
+_CLEARED_TTL_S = 5.0
 
 
 class Crash(NamedTuple):
@@ -45,7 +45,7 @@
     ended: float
 
 
-class Count(NamedTuple):
+class CrashCount(NamedTuple):
     """What a request has done: ``upstreams`` that ended under it, in ``runs``.
 
     ``runs`` are the sends that followed one another, each after the end before it.
@@ -55,22 +55,22 @@
     runs: int
 
 
-class End(NamedTuple):
+class InstanceCrash(NamedTuple):
     """The end of an upstream, and the fingerprints of what ran there."""
 
     instance: int
-    at: float
+    ended_at: float
     fingerprints: set
 
 
 class Suspects:
     """Crashes by the fingerprint of the request; all methods may run in any thread."""
 
-    def __init__(self, most=_MAX_SUSPECTS):
-        self._most = most
+    def __init__(self, max_size=_MAX_SUSPECT_COUNT):
+        self._max_size = max_size
         self._crashes = {}
         self._cleared = {}
-        self._ends = collections.deque(maxlen=_MAX_ENDS)
+        self._instance_crashes = collections.deque(maxlen=_MAX_INSTANCE_CRASH_COUNT)
         self._lock = threading.Lock()
 
     def __len__(self):
@@ -80,10 +80,10 @@
         return fingerprint in self._crashes
 
     def add(self, fingerprint, crash, now):
-        """Take a crash in; return the request's `Count`, None if that is no new one."""
+        """Take a crash in; return the new `CrashCount`, None if unchanged."""
         with self._lock:
-            self._note_end(fingerprint, crash)
-            if now - self._cleared.get(fingerprint, -_CLEARED_FOR_S) < _CLEARED_FOR_S:
+            self._record_instance_crash(fingerprint, crash)
+            if now - self._cleared.get(fingerprint, -_CLEARED_TTL_S) < _CLEARED_TTL_S:
                 return None
             rows = self._crashes.setdefault(fingerprint, [])
             before = count_crashes(rows)
@@ -94,55 +94,57 @@
             self._trim()
             return None if count == before else count
 
-    def get_count(self, fingerprint):
-        """Return the `Count` of a request."""
+    def get_crash_count(self, fingerprint):
+        """Return the `CrashCount` of a request."""
         with self._lock:
             return count_crashes(self._crashes.get(fingerprint, ()))
 
-    def count_others(self, fingerprint, blamed, now):
+    def count_unexplained_crashes(self, fingerprint, quarantined, now):
         """Return how many upstreams ended of late for reasons that are not known.
 
-        Neither the request nor any ``blamed`` one ran there.
+        Neither the request nor any ``quarantined`` one ran there.
         """
         with self._lock:
             return sum(
-                now - end.at < _ENDS_WITHIN
-                and fingerprint not in end.fingerprints
-                and end.fingerprints.isdisjoint(blamed)
-                for end in self._ends
+                now - known.ended_at < _RECENT_CRASH_WINDOW_S
+                and fingerprint not in known.fingerprints
+                and known.fingerprints.isdisjoint(quarantined)
+                for known in self._instance_crashes
             )
 
-    def clear(self, fingerprint, now):
+    def clear_suspect(self, fingerprint, now):
         """Note a whole answer; return whether the request was suspect."""
         with self._lock:
             if self._crashes.pop(fingerprint, None) is None:
                 return False
             self._cleared[fingerprint] = now
-            while len(self._cleared) > self._most:
+            while len(self._cleared) > self._max_size:
                 del self._cleared[next(iter(self._cleared))]
             return True
 
-    def drop_old(self, now):
+    def drop_expired(self, now):
         """Forget requests whose crashes are long ago."""
         with self._lock:
             for fingerprint, rows in list(self._crashes.items()):
-                if now - rows[-1].ended > _FORGET_AFTER:
+                if now - rows[-1].ended > _SUSPECT_TTL_S:
                     del self._crashes[fingerprint]
-            for fingerprint, at in list(self._cleared.items()):
-                if now - at > _CLEARED_FOR_S:
+            for fingerprint, cleared_at in list(self._cleared.items()):
+                if now - cleared_at > _CLEARED_TTL_S:
                     del self._cleared[fingerprint]
 
-    def _note_end(self, fingerprint, crash):
-        for end in self._ends:
-            if is_same_end(end.instance, end.at, crash):
-                end.fingerprints.add(fingerprint)
+    def _record_instance_crash(self, fingerprint, crash):
+        for known in self._instance_crashes:
+            if is_same_crash(known.instance, known.ended_at, crash):
+                known.fingerprints.add(fingerprint)
                 return
-        self._ends.append(End(crash.instance, crash.ended, {fingerprint}))
+        self._instance_crashes.append(
+            InstanceCrash(crash.instance, crash.ended, {fingerprint})
+        )
 
     def _trim(self):
         """Make room; who has done least and longest ago goes first."""
-        excess = len(self._crashes) - self._most
-        if excess <= _TRIMMED_RATIO * self._most:
+        excess = len(self._crashes) - self._max_size
+        if excess <= _TRIMMED_RATIO * self._max_size:
             return
         ranked = sorted(self._crashes, key=lambda key: len(self._crashes[key]))
         for fingerprint in ranked[:excess]:
@@ -150,36 +152,39 @@
 
 
 def count_crashes(rows):
-    """Return the `Count` of crashes that are in order of their ends."""
+    """Return the `CrashCount` of crashes that are in order of their ends."""
     upstreams = 0
     runs = 0
-    ends = {}
-    last = float("-inf")
+    last_ended = {}
+    run_ended = float("-inf")
     for crash in rows:
-        known = ends.get(crash.instance)
-        if known is None or crash.ended - known >= _SAME_END:
+        earlier = last_ended.get(crash.instance)
+        if earlier is None or crash.ended - earlier >= _SAME_CRASH_WINDOW_S:
             upstreams += 1
-        ends[crash.instance] = crash.ended
-        if crash.sent > last:
+        last_ended[crash.instance] = crash.ended
+        if crash.sent > run_ended:
             runs += 1
-            last = crash.ended
-    return Count(upstreams, runs)
+            run_ended = crash.ended
+    return CrashCount(upstreams, runs)
 
 
-def is_same_end(instance, at, crash):
+def is_same_crash(instance, ended_at, crash):
     """Return whether a crash tells of the end of an instance at a time."""
-    return instance == crash.instance and abs(at - crash.ended) < _SAME_END
+    return (
+        instance == crash.instance
+        and abs(ended_at - crash.ended) < _SAME_CRASH_WINDOW_S
+    )
 
 
 def _merge(rows, crash):
     """Add a crash in order of ends, unless it is one that is known."""
-    for place, known in enumerate(rows):
-        if is_same_end(known.instance, known.ended, crash):
+    for idx, known in enumerate(rows):
+        if is_same_crash(known.instance, known.ended, crash):
             # The gateway that noticed first has the most accurate times.
             sent = max(known.sent, crash.sent)
-            rows[place] = Crash(known.instance, sent, min(known.ended, crash.ended))
+            rows[idx] = Crash(known.instance, sent, min(known.ended, crash.ended))
             break
     else:
         rows.append(crash)
     rows.sort(key=lambda row: row.ended)
-    del rows[:-_MAX_CRASHES]
+    del rows[:-_MAX_CRASH_COUNT]
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/fingerprints.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/fingerprints.py
@@ -4,8 +4,8 @@
 
 # Bytes of a digest. With the client account among what is digested, an account can
 # look for collisions among its own requests only; 2^32 tries find one of 8 bytes.
-_SIZE = 8
-_LENGTH_SIZE = 4
+_DIGEST_BYTES = 8
+_LENGTH_BYTES = 4
 
 
 def get_fingerprint(account, request):
@@ -16,10 +16,10 @@
     """
     name = (account.name if account else "").encode()
     target = request.target.encode("latin-1", "replace")
-    digest = hashlib.blake2b(digest_size=_SIZE)
+    digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (name, target):
         # Lengths keep one account's requests apart from another's.
-        digest.update(len(part).to_bytes(_LENGTH_SIZE, "big"))
+        digest.update(len(part).to_bytes(_LENGTH_BYTES, "big"))
         digest.update(part)
     digest.update(request.body)
     return int.from_bytes(digest.digest(), "big")
@@ -33,6 +33,6 @@
 def parse_fingerprint(text):
     """Return the digest that `format_fingerprint` wrote; raises ValueError."""
     fingerprint = int(text, 16)
-    if len(text) != 2 * _SIZE or format_fingerprint(fingerprint) != text:
+    if len(text) != 2 * _DIGEST_BYTES or format_fingerprint(fingerprint) != text:
         raise ValueError(f"{text!r} is no fingerprint")
     return fingerprint
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/records.py
@@ -13,31 +13,31 @@
 
 # Upstreams that may end under a request before it is held. With one, each that ran
 # beside a crash would be.
-MAX_ENDED = 3
+MIN_CRASHED_UPSTREAM_COUNT = 3
 # How many more make it sure where upstreams end without it as well. Where one of six is
 # killed each 0.7 s for other reasons, one request in fifty of those tried up to four
 # times has seen three ends (30 simulated minutes).
-_MORE_ENDED = 1
+_EXTRA_UPSTREAM_COUNT = 1
 # Sends one after the other that tell a request from others that ran at the same time.
-_MIN_RUNS = 2
+_MIN_RUN_COUNT = 2
 # Seconds until the first trial, and how many times longer the next wait is: clients
 # that try again at once have given up by then, and operators had time for the second.
-_FIRST_WAIT = 15.0
-_WAIT_FACTOR = 4.0
+_FIRST_TRIAL_DELAY_S = 15.0
+_TRIAL_DELAY_FACTOR = 4.0
 # Trials without a whole answer, then only an operator lets the request go.
-_MAX_TRIALS = 2
+_MAX_TRIAL_COUNT = 2
 # Where it is not sure a trial goes out at once, and so many seconds later another if
 # that one brought nothing; longer than a stream's first event takes.
-_TRIAL_TIME = 5.0
+_UNCONFIRMED_TRIAL_INTERVAL_S = 5.0
 # Seconds after which a quarantine ends by itself, so that records do not pile up, and
 # one that is not sure: what has ended is remembered for longer.
-_LONGEST = 86_400.0
-_MAX_UNSURE = 60.0
+_CONFIRMED_TTL_S = 86_400.0
+_UNCONFIRMED_TTL_S = 60.0
 # Requests held at a time; each took three upstreams, or two at least.
-_MAX_HELD = 1_000
+_MAX_ENTRY_COUNT = 1_000
 
 
-class Held(NamedTuple):
+class QuarantineEntry(NamedTuple):
     """A request in quarantine.
 
     ``since`` is on the gateway's clock: when this gateway learned of its newest record.
@@ -52,12 +52,14 @@
         """Return when the next trial may go out, None for never."""
         record = self.record
         if not record.is_sure:
-            return self.since + (_TRIAL_TIME if record.trials else 0.0)
-        if record.trials >= _MAX_TRIALS:
+            return self.since + (
+                _UNCONFIRMED_TRIAL_INTERVAL_S if record.trials else 0.0
+            )
+        if record.trials >= _MAX_TRIAL_COUNT:
             return None
-        return self.since + _FIRST_WAIT * _WAIT_FACTOR**record.trials
+        return self.since + _FIRST_TRIAL_DELAY_S * _TRIAL_DELAY_FACTOR**record.trials
 
-    def is_due(self, now):
+    def is_trial_due(self, now):
         """Return whether a trial may go out now."""
         return self.due is not None and now >= self.due
 
@@ -71,8 +73,8 @@
     as is ``at``, the time of day in seconds.
     """
 
-    upstreams: int = MAX_ENDED
-    runs: int = _MIN_RUNS
+    upstreams: int = MIN_CRASHED_UPSTREAM_COUNT
+    runs: int = _MIN_RUN_COUNT
     trials: int = 0
     is_sure: bool = True
     account: str | None = None
@@ -101,64 +103,64 @@
         raise ValueError(str(exc)) from exc
 
 
-def is_to_blame(count):
-    """Return whether a request with this `crashes.Count` is held."""
-    return count.upstreams >= MAX_ENDED
+def needs_quarantine(count):
+    """Return whether a request with this `crashes.CrashCount` is held."""
+    return count.upstreams >= MIN_CRASHED_UPSTREAM_COUNT
 
 
-def is_confirmed(count, others):
+def is_confirmed(count, unexplained):
     """Return whether nothing else may have ended the upstreams.
 
-    ``others`` is how many ended without it, for reasons that are not known.
+    ``unexplained`` is how many ended without it, for reasons that are not known.
     """
-    needed = MAX_ENDED + (_MORE_ENDED if others else 0)
-    return count.upstreams >= needed and count.runs >= _MIN_RUNS
+    needed = MIN_CRASHED_UPSTREAM_COUNT + (_EXTRA_UPSTREAM_COUNT if unexplained else 0)
+    return count.upstreams >= needed and count.runs >= _MIN_RUN_COUNT
 
 
 class Quarantine:
     """What this gateway knows to be held; all methods may run in any thread."""
 
     def __init__(self):
-        self._held = {}
+        self._entries = {}
         # Fingerprints whose record has been seen in the store.
-        self._kept = set()
+        self._stored = set()
         self._lock = threading.Lock()
 
     def __len__(self):
-        return len(self._held)
+        return len(self._entries)
 
     def get(self, fingerprint):
-        """Return the `Held` of a request, None where it may be sent."""
-        return self._held.get(fingerprint)
+        """Return the `QuarantineEntry` of a request, None where it may be sent."""
+        return self._entries.get(fingerprint)
 
     def __contains__(self, fingerprint):
-        return fingerprint in self._held
+        return fingerprint in self._entries
 
     def get_all(self):
         """Return {fingerprint: Held}."""
         with self._lock:
-            return dict(self._held)
+            return dict(self._entries)
 
-    def is_kept(self, fingerprint):
+    def is_stored(self, fingerprint):
         """Return whether the store is known to hold the newest record."""
-        return fingerprint in self._kept
+        return fingerprint in self._stored
 
-    def put(self, fingerprint, record, now, kept=False):
+    def put(self, fingerprint, record, now, stored=False):
         """Hold a request back; return whether that is new.
 
         A record that says more replaces the one known, and its waits begin anew.
         """
         with self._lock:
-            known = self._held.get(fingerprint)
+            known = self._entries.get(fingerprint)
             if known is None or _get_rank(record) > _get_rank(known.record):
-                self._held[fingerprint] = Held(now, record)
-                self._kept.discard(fingerprint)
+                self._entries[fingerprint] = QuarantineEntry(now, record)
+                self._stored.discard(fingerprint)
             elif _get_rank(record) < _get_rank(known.record):
-                kept = False
-            if kept:
-                self._kept.add(fingerprint)
-            if len(self._held) > _MAX_HELD:
-                self._drop(self._find_least())
+                stored = False
+            if stored:
+                self._stored.add(fingerprint)
+            if len(self._entries) > _MAX_ENTRY_COUNT:
+                self._drop(self._find_least_certain())
             return known is None
 
     def remove(self, fingerprint):
@@ -166,21 +168,22 @@
         with self._lock:
             return self._drop(fingerprint)
 
-    def find_old(self, now):
+    def find_expired(self, now):
         """Return the fingerprints whose time is over."""
         return [
             key
-            for key, held in self.get_all().items()
-            if now - held.since > (_LONGEST if held.record.is_sure else _MAX_UNSURE)
+            for key, entry in self.get_all().items()
+            if now - entry.since
+            > (_CONFIRMED_TTL_S if entry.record.is_sure else _UNCONFIRMED_TTL_S)
         ]
 
-    def _find_least(self):
+    def _find_least_certain(self):
         """Return the fingerprint that is least sure, of those the oldest."""
-        return min(self._held, key=lambda key: self._held[key].record.is_sure)
+        return min(self._entries, key=lambda key: self._entries[key].record.is_sure)
 
     def _drop(self, fingerprint):
-        self._kept.discard(fingerprint)
-        return self._held.pop(fingerprint, None) is not None
+        self._stored.discard(fingerprint)
+        return self._entries.pop(fingerprint, None) is not None
 
 
 def _get_rank(record):
