--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/__init__.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests under which upstreams end: found, held back, tried again rarely.
+"""Detection and quarantine of requests that crash upstreams.
 
 Imports only the shared modules at the root.
 """
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crash_attribution.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crash_attribution.py
@@ -1,8 +1,8 @@
-"""Finding the request that ends upstreams, and holding it back fleet-wide.
+"""Attribution of upstream crashes to requests, and their fleet-wide quarantine.
 
-Without it a request was as new to each gateway as any other each time it came, and went
-on to the next upstream for as long as its client asked: ten ended in eleven seconds,
-and nine in ten of the answers lost were those of other clients.
+Without it, every gateway forwards each retry of a crashing request to another upstream
+for as long as the client retries: ten upstreams crashed within eleven seconds, and nine
+in ten of the lost responses were those of other clients.
 """
 
 from typing import NamedTuple
@@ -13,30 +13,28 @@
 from .fingerprints import format_fingerprint
 from .records import QuarantineRecord, is_confirmed, needs_quarantine
 
-# Seconds until a client may ask again where no trial is due before an operator's word.
+# Retry-After of a quarantined request that only an operator can release.
 _OPERATOR_RETRY_AFTER_S = 60.0
 _MIN_RETRY_AFTER_S = 0.2
-# Seconds after the end of an upstream in which a peer's notice of it counts; it may be
-# back later.
+# Older notices of peers do not eject the upstream, as it may have restarted by then.
 _MAX_NOTICE_AGE_S = 0.7
-# Characters of a path in a record.
 _MAX_TARGET_CHARS = 200
 
 
 class Notice(NamedTuple):
-    """News of a request for peers: its `Crash`, or None where it was cleared."""
+    """An update about a request for peers: its `Crash`, or None if it was cleared."""
 
     fingerprint: int
     crash: Crash | None
 
 
 async def check_quarantine(state, ctx):
-    """Return the `Refusal` of a request that is held back, None if it may be sent.
+    """Return the `Refusal` of a quarantined request, or None if it may be sent.
 
-    Where a trial is due, the one gateway of the fleet that may make it sends it on.
+    When a trial is due, the gateway of the fleet that claims it forwards the request.
     """
     if not state.quarantine:
-        # Nothing is held: no digest is taken.
+        # Saves the digest of the request.
         return None
     entry = state.quarantine.get(ctx.fingerprint)
     if entry is None:
@@ -51,14 +49,14 @@
 
 
 def is_quarantined(state, ctx):
-    """Return whether a request was found to end upstreams while it waited here."""
+    """Return whether a request has been quarantined while it waited here."""
     if not state.quarantine or ctx.is_trial:
         return False
     return state.quarantine.get(ctx.fingerprint) is not None
 
 
 def refuse_quarantined(state, ctx):
-    """Return the `Refusal` of a request that is held back: at once, and not run."""
+    """Return the `Refusal` of a quarantined request, which is not run."""
     now = state.clock()
     entry = state.quarantine.get(ctx.fingerprint)
     retry_after = _OPERATOR_RETRY_AFTER_S
@@ -75,7 +73,7 @@
 
 
 async def on_connection_broken(state, ctx, instance, sent):
-    """Take in a send whose connection broke off: did its upstream end?"""
+    """Record a crash if the upstream of a broken connection has terminated."""
     ended = state.clock()
     if not await state.endings.has_ended(instance, sent):
         return
@@ -101,7 +99,7 @@
 
 
 def on_request_answered(state, ctx):
-    """Take in a whole answer: whatever ended before, this request did not end it."""
+    """Clear a request that got a complete response: it did not cause the crashes."""
     if not state.suspects and not state.quarantine:
         return
     now = state.clock()
@@ -118,7 +116,7 @@
 
 
 def take_notice(state, notice, now):
-    """Take in what a peer has found out; return whether it is news to this gateway."""
+    """Apply a peer's notice; return whether it is new to this gateway."""
     fingerprint, crash = notice
     if crash is None:
         was_suspect = state.suspects.clear_suspect(fingerprint, now)
@@ -131,7 +129,7 @@
 
 
 def take_record(state, fingerprint, record, now):
-    """Take in a record of the store; None where it is gone."""
+    """Apply a record of the store; ``record`` is None when it was removed."""
     text = format_fingerprint(fingerprint)
     if record is None:
         state.suspects.clear_suspect(fingerprint, now)
@@ -149,7 +147,7 @@
 
 
 def release(state, fingerprint):
-    """Let a request go by an operator's word; return whether it was held."""
+    """Release a request for an operator; return whether it was quarantined."""
     state.suspects.clear_suspect(fingerprint, state.clock())
     if not state.quarantine.remove(fingerprint):
         return False
@@ -161,7 +159,7 @@
 
 
 def end_old(state):
-    """Let those go whose time is over; other gateways do the same by themselves."""
+    """Release expired quarantines; each gateway does so on its own."""
     now = state.clock()
     state.suspects.drop_expired(now)
     for fingerprint in state.quarantine.find_expired(now):
@@ -172,9 +170,10 @@
 
 
 def _eject_upstream(state, crash, now):
-    """Send nothing for a while to an upstream that was seen to end.
+    """Stop sending to an upstream for a while after a crash was reported.
 
-    Without it each gateway found out by requests of its own, 8 to 18 in all.
+    Without it, each gateway detects the crash by failed requests of its own; 8 to 18
+    requests failed in total.
     """
     instance_id = state.directory.get_id(crash.instance)
     if instance_id is None or now - crash.ended > _MAX_NOTICE_AGE_S:
@@ -184,7 +183,7 @@
 
 
 def _quarantine_request(state, fingerprint, count, now, ctx=None):
-    """Hold a request back; ``ctx`` is its try here, if an upstream ended under that."""
+    """Quarantine a request; ``ctx`` is given if this gateway observed the crash."""
     quarantined = state.quarantine.get_all().keys()
     unexplained = state.suspects.count_unexplained_crashes(
         fingerprint, quarantined, now
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crashes.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crashes.py
@@ -1,43 +1,43 @@
-"""Requests under which upstreams ended, and how often each did.
-
-All that ran at an upstream when it ended is suspect. What tells the one request that
-ends upstreams from those that ran beside it: it comes again, is never answered whole,
-and its sends end upstreams one after the other. A whole answer anywhere in the fleet
-clears it, and sends that ran at the same time count once, so that many requests which
-look the same are not blamed for a failure domain that crashed. Where upstreams end
-without it as well, more is asked for.
+"""Crash counts of the requests that were running when upstreams crashed.
+
+Every request that was running at an upstream when it crashed is suspect. The request
+that causes crashes differs from those that ran beside it: it is retried, never gets a
+complete response, and its sends crash upstreams one after another. A complete response
+anywhere in the fleet clears a request. Concurrent sends count as one run, so that many
+identical requests are not quarantined when a failure domain crashes. The threshold is
+higher while upstreams also crash without the request.
 """
 
 import collections
 import threading
 from typing import NamedTuple
 
-# Requests known at a time, 0.35 KB each, measured. Each crash adds at most the requests
-# that its upstream ran, some dozens.
+# A suspect takes 0.35 KB. A crash adds at most the requests that were running at the
+# upstream, some dozens.
 _MAX_SUSPECT_COUNT = 4_000
-# Room is made for this part at once: ranking them all takes 0.6 ms.
+# Excess suspects are removed in batches, because ranking all of them takes 0.6 ms.
 _TRIMMED_RATIO = 0.1
-# Crashes kept of a request; three decide.
+# Crashes kept per request; three suffice for a quarantine.
 _MAX_CRASH_COUNT = 8
-# Seconds after its last crash until a request is no longer suspect: far longer than
-# clients go on trying, and than an upstream takes to come back.
+# Counted from the last crash; far longer than clients retry and upstreams take to
+# restart.
 _SUSPECT_TTL_S = 600.0
-# Two ends of one upstream within so many seconds are the same one, seen by two
-# gateways. An upstream takes longer to come back and end once more.
+# Two crashes of one upstream within this window are one crash that two gateways
+# observed. An upstream takes longer to restart and crash again.
 _SAME_CRASH_WINDOW_S = 1.0
-# Ends of upstreams kept, and for how many seconds they tell how often upstreams end.
+# Instance crashes kept, and how long they count as recent.
 _MAX_INSTANCE_CRASH_COUNT = 64
 _RECENT_CRASH_WINDOW_S = 60.0
-# Seconds for which a whole answer speaks for a request, also against crashes that
-# gateways tell of late.
+# For this time after a complete response, crash reports for the request are ignored,
+# as other gateways may report earlier crashes late.
 _CLEARED_TTL_S = 5.0
 
 
 class Crash(NamedTuple):
-    """The end of an upstream under a request.
+    """The crash of an upstream while it ran a request.
 
-    ``instance`` is the digest of the upstream's id; ``sent`` and ``ended`` are when the
-    request went there and when its connection broke off, on the gateway's clock.
+    ``instance`` is the digest of the upstream's id. ``sent`` and ``ended`` are when the
+    request was sent and when its connection broke, on the gateway's clock.
     """
 
     instance: int
@@ -46,9 +46,9 @@
 
 
 class CrashCount(NamedTuple):
-    """What a request has done: ``upstreams`` that ended under it, in ``runs``.
+    """The ``upstreams`` that crashed while they ran a request, and its ``runs``.
 
-    ``runs`` are the sends that followed one another, each after the end before it.
+    ``runs`` counts consecutive sends, each after the crash that ended the one before.
     """
 
     upstreams: int
@@ -56,7 +56,7 @@
 
 
 class InstanceCrash(NamedTuple):
-    """The end of an upstream, and the fingerprints of what ran there."""
+    """The crash of an instance, with the fingerprints of the requests it ran."""
 
     instance: int
     ended_at: float
@@ -64,7 +64,7 @@
 
 
 class Suspects:
-    """Crashes by the fingerprint of the request; all methods may run in any thread."""
+    """Crashes by the fingerprint of the request; all methods are thread-safe."""
 
     def __init__(self, max_size=_MAX_SUSPECT_COUNT):
         self._max_size = max_size
@@ -80,7 +80,7 @@
         return fingerprint in self._crashes
 
     def add(self, fingerprint, crash, now):
-        """Take a crash in; return the new `CrashCount`, None if unchanged."""
+        """Record a crash; return the new `CrashCount`, or None if unchanged."""
         with self._lock:
             self._record_instance_crash(fingerprint, crash)
             if now - self._cleared.get(fingerprint, -_CLEARED_TTL_S) < _CLEARED_TTL_S:
@@ -89,7 +89,7 @@
             before = count_crashes(rows)
             _merge(rows, crash)
             count = count_crashes(rows)
-            # The latest crash last, so that the first is the first to be forgotten.
+            # Keeps the dict in order of the latest crash, the oldest first.
             self._crashes[fingerprint] = self._crashes.pop(fingerprint)
             self._trim()
             return None if count == before else count
@@ -100,9 +100,9 @@
             return count_crashes(self._crashes.get(fingerprint, ()))
 
     def count_unexplained_crashes(self, fingerprint, quarantined, now):
-        """Return how many upstreams ended of late for reasons that are not known.
+        """Return the number of recent instance crashes without a known cause.
 
-        Neither the request nor any ``quarantined`` one ran there.
+        These ran neither the request nor any of the ``quarantined`` ones.
         """
         with self._lock:
             return sum(
@@ -113,7 +113,7 @@
             )
 
     def clear_suspect(self, fingerprint, now):
-        """Note a whole answer; return whether the request was suspect."""
+        """Clear a request after a complete response; return whether it was suspect."""
         with self._lock:
             if self._crashes.pop(fingerprint, None) is None:
                 return False
@@ -123,7 +123,7 @@
             return True
 
     def drop_expired(self, now):
-        """Forget requests whose crashes are long ago."""
+        """Drop requests whose last crash is too long ago."""
         with self._lock:
             for fingerprint, rows in list(self._crashes.items()):
                 if now - rows[-1].ended > _SUSPECT_TTL_S:
@@ -142,7 +142,7 @@
         )
 
     def _trim(self):
-        """Make room; who has done least and longest ago goes first."""
+        """Drop excess suspects: those with the fewest crashes, the oldest first."""
         excess = len(self._crashes) - self._max_size
         if excess <= _TRIMMED_RATIO * self._max_size:
             return
@@ -152,7 +152,7 @@
 
 
 def count_crashes(rows):
-    """Return the `CrashCount` of crashes that are in order of their ends."""
+    """Return the `CrashCount` of crashes sorted by ``ended``."""
     upstreams = 0
     runs = 0
     last_ended = {}
@@ -169,7 +169,7 @@
 
 
 def is_same_crash(instance, ended_at, crash):
-    """Return whether a crash tells of the end of an instance at a time."""
+    """Return whether a crash is the one of ``instance`` at about ``ended_at``."""
     return (
         instance == crash.instance
         and abs(ended_at - crash.ended) < _SAME_CRASH_WINDOW_S
@@ -177,10 +177,10 @@
 
 
 def _merge(rows, crash):
-    """Add a crash in order of ends, unless it is one that is known."""
+    """Insert a crash sorted by ``ended``, or merge it with a known report of it."""
     for idx, known in enumerate(rows):
         if is_same_crash(known.instance, known.ended, crash):
-            # The gateway that noticed first has the most accurate times.
+            # The gateway that detected the crash first has the most accurate times.
             sent = max(known.sent, crash.sent)
             rows[idx] = Crash(known.instance, sent, min(known.ended, crash.ended))
             break
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/quarantine_store.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/quarantine_store.py
@@ -1,8 +1,8 @@
-"""Quarantines in the platform's store, so that they outlast the gateways.
+"""Persistence of quarantines in the platform's store, so that they survive gateways.
 
-Each is a record of a topic of the fleet's own, written by the gateway that saw the last
-upstream end. The store also decides who may make a trial: an append under a condition
-is taken from one gateway only, however many ask at the same moment.
+Each is a record in a topic of the fleet, written by the gateway that observed the last
+crash. The store also decides which gateway may send a trial: of several concurrent
+conditional appends, it accepts only one.
 """
 
 import asyncio
@@ -16,74 +16,78 @@
 from .fingerprints import format_fingerprint
 from .records import decode_record, encode_record
 
-# Seconds between looks at what is to be written, where there is anything and where not,
-# as each wake-up of a thread has its price; and until a write is tried again.
+# Poll intervals of the writing thread with and without pending writes; the idle one is
+# longer because each wake-up of a thread has a cost.
 _WRITE_POLL_S = 0.05
 _IDLE_POLL_S = 1.0
 _WRITE_RETRY_S = 0.5
-# Seconds that a request waits for the store to grant a trial, some dozen times its
-# usual answer, and from one request that asks to the next.
+# How long a request waits for the store to grant a trial, about a dozen times its usual
+# response time, and the interval between such requests.
 _CLAIM_TIMEOUT_S = 0.3
 _CLAIM_INTERVAL_S = 0.5
-# Seconds that others leave to the gateway that saw the end; the one that is due first
-# writes, and the rest then see its record.
+# Random delay before a gateway that did not observe the crash writes the record. The
+# first one that is due writes, and the others then read its record.
 _BACKUP_WRITE_DELAY_S = (0.5, 2.0)
 
 
 class QuarantineStore:
-    """Writes records of quarantines, and asks for trials.
+    """Writes quarantine records and claims trials.
 
     Parameters
     ----------
     store : stores.Store
     topic : str
-        Keyed by the fingerprint as text.
+        Topic of the records, keyed by the formatted fingerprint.
     """
 
     def __init__(self, state, store, topic):
         self._state = state
         self._store = store
         self._topic = topic
-        # Fingerprint: when to write, on the gateway's clock; a thread writes.
+        # {fingerprint: when to write, on the gateway's clock}.
         self._due = {}
         self._next_claim_at = 0.0
         self._changed = threading.Condition()
 
     def start(self, stopped):
-        """Write in a thread of its own."""
+        """Start the thread that writes records."""
         threading.Thread(
             target=self.run, args=(stopped,), name="quarantine", daemon=True
         ).start()
 
     def run(self, stopped):
-        """Write what is due until ``stopped``."""
+        """Write due records until ``stopped`` is set."""
         while not stopped.is_set():
             with self._changed:
                 self._changed.wait(_WRITE_POLL_S if self._due else _IDLE_POLL_S)
             self.write_due(self._state.clock())
 
     def schedule_write(self, fingerprint, observed):
-        """Have a quarantine written; ``observed`` where this gateway saw the end.
+        """Schedule the record of a quarantine to be written.
 
-        Others write it too, a while later and only where it is still missing: the
-        one that saw it may be gone.
+        A gateway that has not ``observed`` the crash writes after a delay and only if
+        the record is still missing, since the observing gateway may have terminated.
         """
         self._schedule(fingerprint, observed)
 
     def schedule_removal(self, fingerprint, observed=True):
-        """Have the record of a released request removed, as `keep` writes it."""
+        """Schedule the record of a released request to be removed."""
         with self._changed:
             self._due.pop(fingerprint, None)
         self._schedule(fingerprint, observed)
 
     def on_record_removed(self, fingerprint):
-        """Note that the store holds no record: there is none to remove."""
+        """Cancel a scheduled removal, as the store holds no record any more."""
         if self._state.quarantine.get(fingerprint) is None:
             with self._changed:
                 self._due.pop(fingerprint, None)
 
     def _schedule(self, fingerprint, observed):
-        """Write soon; those that take their view from a relay, hundreds, do not."""
+        """Schedule a write.
+
+        Gateways that get their view from a relay instead of the store only write what
+        they observed, because there may be hundreds of them.
+        """
         if not observed and not self._state.reads_store:
             return
         delay = 0.0 if observed else self._state.rng.uniform(*_BACKUP_WRITE_DELAY_S)
@@ -93,7 +97,7 @@
             self._changed.notify()
 
     def write_due(self, now):
-        """Write what is due; what fails is tried again."""
+        """Write due records; failed writes are retried."""
         with self._changed:
             due = [key for key, at in self._due.items() if at <= now]
             for key in due:
@@ -102,9 +106,9 @@
             self._write(key, now)
 
     async def claim_trial(self, fingerprint):
-        """Return whether this gateway may make the next trial; its record counts it.
+        """Return whether this gateway may send the next trial, and count it.
 
-        One request at a time waits for the store's word, and not for long.
+        Only one request at a time waits for the store, for a limited time.
         """
         now = self._state.clock()
         if now < self._next_claim_at:
@@ -118,7 +122,7 @@
             return False
 
     def claim_trial_blocking(self, fingerprint):
-        """Count a trial in the store; return whether it was taken from here."""
+        """Count a trial in the store; return whether this gateway's claim won."""
         state = self._state
         entry = state.quarantine.get(fingerprint)
         if entry is None:
@@ -129,10 +133,10 @@
             text = format_fingerprint(fingerprint)
             state.log.note("no word on trial", fingerprint=text, why=str(exc))
         if entry.record.is_sure:
-            # Without the store nobody knows who else would try.
+            # Without the store, other gateways could send the same trial.
             return False
-        # Else an outage of the store would keep requests back that only ran where
-        # upstreams ended.
+        # Otherwise an outage of the store would block requests that merely ran beside
+        # a crash.
         state.quarantine.put(fingerprint, entry.record.count_trial(), state.clock())
         return True
 
@@ -147,7 +151,7 @@
                 state.quarantine.put(fingerprint, newest, state.clock(), stored=True)
                 return False
         elif state.quarantine.is_stored(fingerprint):
-            # Let go meanwhile; the follower of the topic will say so.
+            # Released meanwhile; the follower of the topic will apply that.
             return False
         counted = record.count_trial()
         try:
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/records.py
@@ -1,9 +1,9 @@
-"""Requests that are not sent any more, since upstreams end under them.
+"""Quarantine records of requests that are not forwarded because they crash upstreams.
 
-A quarantine outlasts the gateways: its record stands in a topic of the fleet's own in
-the platform's store. It ends with a whole answer to a trial, by an operator's word, or
-after a day. Trials are few, and further apart each time, as each may cost an upstream
-and all that runs there.
+A quarantine survives restarts of gateways: its record is kept in a topic of the fleet
+in the platform's store. It ends when a trial gets a complete response, when an operator
+releases it, or after a day. Trials are few and their delay grows, as each may crash an
+upstream with all requests running there.
 """
 
 import threading
@@ -11,37 +11,38 @@
 
 import msgspec
 
-# Upstreams that may end under a request before it is held. With one, each that ran
-# beside a crash would be.
+# Crashed upstreams after which a request is quarantined. With one, every request that
+# ran beside a crash would be.
 MIN_CRASHED_UPSTREAM_COUNT = 3
-# How many more make it sure where upstreams end without it as well. Where one of six is
-# killed each 0.7 s for other reasons, one request in fifty of those tried up to four
-# times has seen three ends (30 simulated minutes).
+# Further crashes needed to confirm the cause while upstreams also crash without the
+# request. With one of six upstreams killed every 0.7 s for other reasons, one in fifty
+# of the requests sent up to four times met three crashes (30 simulated minutes).
 _EXTRA_UPSTREAM_COUNT = 1
-# Sends one after the other that tell a request from others that ran at the same time.
+# Consecutive sends that distinguish a request from those that ran concurrently.
 _MIN_RUN_COUNT = 2
-# Seconds until the first trial, and how many times longer the next wait is: clients
-# that try again at once have given up by then, and operators had time for the second.
+# By the first trial, clients that retry at once have given up; before the second,
+# operators have had time to act.
 _FIRST_TRIAL_DELAY_S = 15.0
 _TRIAL_DELAY_FACTOR = 4.0
-# Trials without a whole answer, then only an operator lets the request go.
+# After as many trials without a complete response, only an operator releases the
+# request before it expires.
 _MAX_TRIAL_COUNT = 2
-# Where it is not sure a trial goes out at once, and so many seconds later another if
-# that one brought nothing; longer than a stream's first event takes.
+# The first trial of an unconfirmed quarantine is due at once, further ones after this
+# interval, which is longer than a stream takes to its first event.
 _UNCONFIRMED_TRIAL_INTERVAL_S = 5.0
-# Seconds after which a quarantine ends by itself, so that records do not pile up, and
-# one that is not sure: what has ended is remembered for longer.
+# Quarantines expire so that records do not accumulate. An unconfirmed one may expire
+# early, because the crash counts are kept for longer.
 _CONFIRMED_TTL_S = 86_400.0
 _UNCONFIRMED_TTL_S = 60.0
-# Requests held at a time; each took three upstreams, or two at least.
+# Each quarantine follows three crashed upstreams, or at least two.
 _MAX_ENTRY_COUNT = 1_000
 
 
 class QuarantineEntry(NamedTuple):
     """A request in quarantine.
 
-    ``since`` is on the gateway's clock: when this gateway learned of its newest record.
-    ``record`` is what all gateways know of it.
+    ``since`` is the time on the gateway's clock when this gateway received the newest
+    ``record``, which all gateways share.
     """
 
     since: float
@@ -49,7 +50,7 @@
 
     @property
     def due(self):
-        """Return when the next trial may go out, None for never."""
+        """Return when the next trial may be sent, or None for never."""
         record = self.record
         if not record.is_sure:
             return self.since + (
@@ -60,17 +61,17 @@
         return self.since + _FIRST_TRIAL_DELAY_S * _TRIAL_DELAY_FACTOR**record.trials
 
     def is_trial_due(self, now):
-        """Return whether a trial may go out now."""
+        """Return whether a trial may be sent now."""
         return self.due is not None and now >= self.due
 
 
 class QuarantineRecord(msgspec.Struct, frozen=True):
-    """A quarantine as it stands in the store, as JSON.
+    """A quarantine as stored, in JSON.
 
-    ``upstreams`` ended in ``runs`` sends after each other; ``trials`` were made since.
-    It ``is_sure`` where nothing else may have ended them.
-    ``account``, ``target`` and ``host``, the gateway that wrote it, are for operators,
-    as is ``at``, the time of day in seconds.
+    ``upstreams`` crashed in ``runs`` consecutive sends; ``trials`` were sent since. It
+    ``is_sure`` if nothing else can have caused the crashes. ``account``, ``target``,
+    ``host`` (the gateway that wrote it) and ``at`` (Unix time in seconds) are
+    information for operators.
     """
 
     upstreams: int = MIN_CRASHED_UPSTREAM_COUNT
@@ -83,7 +84,7 @@
     at: float = 0.0
 
     def count_trial(self):
-        """Return the record with one trial more."""
+        """Return a copy of the record with one more trial."""
         return msgspec.structs.replace(self, trials=self.trials + 1)
 
 
@@ -91,12 +92,12 @@
 
 
 def encode_record(record):
-    """Return the bytes of a record."""
+    """Return a record encoded as JSON bytes."""
     return msgspec.json.encode(record)
 
 
 def decode_record(data):
-    """Return the `QuarantineRecord` in bytes; raises ValueError."""
+    """Return the `QuarantineRecord` in JSON bytes; raises ValueError if malformed."""
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError as exc:
@@ -104,25 +105,25 @@
 
 
 def needs_quarantine(count):
-    """Return whether a request with this `crashes.CrashCount` is held."""
+    """Return whether a request with this `crashes.CrashCount` is quarantined."""
     return count.upstreams >= MIN_CRASHED_UPSTREAM_COUNT
 
 
 def is_confirmed(count, unexplained):
-    """Return whether nothing else may have ended the upstreams.
+    """Return whether nothing but the request can have caused the crashes.
 
-    ``unexplained`` is how many ended without it, for reasons that are not known.
+    ``unexplained`` is the number of crashes without the request or a known cause.
     """
     needed = MIN_CRASHED_UPSTREAM_COUNT + (_EXTRA_UPSTREAM_COUNT if unexplained else 0)
     return count.upstreams >= needed and count.runs >= _MIN_RUN_COUNT
 
 
 class Quarantine:
-    """What this gateway knows to be held; all methods may run in any thread."""
+    """The quarantines known to this gateway; all methods are thread-safe."""
 
     def __init__(self):
         self._entries = {}
-        # Fingerprints whose record has been seen in the store.
+        # Fingerprints whose newest record is in the store.
         self._stored = set()
         self._lock = threading.Lock()
 
@@ -130,25 +131,25 @@
         return len(self._entries)
 
     def get(self, fingerprint):
-        """Return the `QuarantineEntry` of a request, None where it may be sent."""
+        """Return the `QuarantineEntry` of a request, or None if it may be sent."""
         return self._entries.get(fingerprint)
 
     def __contains__(self, fingerprint):
         return fingerprint in self._entries
 
     def get_all(self):
-        """Return {fingerprint: Held}."""
+        """Return {fingerprint: QuarantineEntry}."""
         with self._lock:
             return dict(self._entries)
 
     def is_stored(self, fingerprint):
-        """Return whether the store is known to hold the newest record."""
+        """Return whether the newest record is known to be in the store."""
         return fingerprint in self._stored
 
     def put(self, fingerprint, record, now, stored=False):
-        """Hold a request back; return whether that is new.
+        """Quarantine a request; return whether it was not quarantined before.
 
-        A record that says more replaces the one known, and its waits begin anew.
+        A record of higher rank replaces the known one and restarts its delays.
         """
         with self._lock:
             known = self._entries.get(fingerprint)
@@ -164,12 +165,12 @@
             return known is None
 
     def remove(self, fingerprint):
-        """Let a request go; return whether it was held."""
+        """Release a request; return whether it was quarantined."""
         with self._lock:
             return self._drop(fingerprint)
 
     def find_expired(self, now):
-        """Return the fingerprints whose time is over."""
+        """Return the fingerprints of expired quarantines."""
         return [
             key
             for key, entry in self.get_all().items()
@@ -178,7 +179,7 @@
         ]
 
     def _find_least_certain(self):
-        """Return the fingerprint that is least sure, of those the oldest."""
+        """Return the oldest unconfirmed fingerprint, or else the oldest one."""
         return min(self._entries, key=lambda key: self._entries[key].record.is_sure)
 
     def _drop(self, fingerprint):
