--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -19,14 +19,14 @@
 )
 from ..upstreams.upstream_signals import observe_head
 from ..view.catalog import RouteKind
-from .checking import ANSWER_MARGIN
-from .pause_recovery import is_behind, wait_for_view
-from .recording import note_failure, note_result, note_sending
+from .checking import RESPONSE_MARGIN_S
+from .pause_recovery import is_view_stale, wait_for_view
+from .recording import record_failure, record_result, record_view_at_send
 
-_FRESH_WITHIN = 1.0
-_PROMISES = frozenset((408, 421, 429, 503))
-_SERVER_ERROR = 500
-_TIME_UP = frozenset((Fault.LATE, Fault.SLOW))
+_MAX_UNREPEATABLE_IDLE_S = 1.0
+_SIGNED_STATUSES = frozenset((408, 421, 429, 503))
+_MIN_SERVER_ERROR_STATUS = 500
+_TIMEOUT_FAULTS = frozenset((Fault.LATE, Fault.SLOW))
 
 
 async def attempt(state, ctx, choice):
@@ -36,7 +36,7 @@
     await wait_for_view(state)
     sock = await _get_socket(state, ctx, instance)
     if isinstance(sock, Failure):
-        note_failure(state, ctx, choice, sock)
+        record_failure(state, ctx, choice, sock)
         return sock
     now = state.clock()
     obstacle = _find_obstacle(state, ctx, instance, now)
@@ -49,25 +49,31 @@
     exchange = Exchange(
         sock,
         ctx.reply,
-        lambda kept, lifetime: state.connections.keep(instance.id, kept, lifetime),
+        lambda idle_sock, lifetime: state.connections.keep(
+            instance.id, idle_sock, lifetime
+        ),
         state.names.request_id,
         lambda head: observe_head(state, ctx, instance, head),
     )
     if ctx.sends == 0:
         ctx.first_sent = now
-        _note_begun(state, ctx, now)
+        _record_first_send(state, ctx, now)
     ctx.sends += 1
-    note_sending(state, ctx, instance.id, now)
+    record_view_at_send(state, ctx, instance.id, now)
     work = state.loads.start(instance.id, choice.tokens, now)
     if ctx.prompt is not None:
-        _note_reads(state, ctx, choice, now)
+        _record_prompt_parts(state, ctx, choice, now)
     try:
         failure = await _exchange(state, ctx, choice, exchange, work)
     finally:
         exchange.close()
         state.loads.finish(work, state.clock())
-    note_result(state, ctx, choice, failure, work)
-    if failure is not None and failure.fault in _TIME_UP and not exchange.is_heard:
+    record_result(state, ctx, choice, failure, work)
+    if (
+        failure is not None
+        and failure.fault in _TIMEOUT_FAULTS
+        and not exchange.is_heard
+    ):
         # The connection may have fallen silent, and those kept beside it as well. Each
         # would cost another request all of its time; a new one costs a round trip.
         state.connections.drop(instance.id)
@@ -83,12 +89,12 @@
     """Return why the request may not be sent now, after all that it waited for."""
     if is_quarantined(state, ctx):
         return "quarantined"
-    if is_behind(state, now):
+    if is_view_stale(state, now):
         return "view-old"
     return find_obstacle(state, ctx, instance, now)
 
 
-def _note_begun(state, ctx, now):
+def _record_first_send(state, ctx, now):
     state.retries.note_request(ctx.service, now)
     if ctx.account is not None and ctx.prompt is not None:
         name, cost = ctx.account.name, ctx.prompt.cost
@@ -96,7 +102,7 @@
         state.metrics.account_tokens.labels(name, "begun").inc(cost)
 
 
-def _note_reads(state, ctx, choice, now):
+def _record_prompt_parts(state, ctx, choice, now):
     shared = ctx.prompt.shared
     instance_id = choice.instance.id
     known = state.loads.is_cached
@@ -108,8 +114,8 @@
 
 async def _get_socket(state, ctx, instance):
     repeatable = ctx.route.repeatable
-    longest_idle = MAX_IDLE if repeatable else _FRESH_WITHIN
-    sock = state.connections.take(instance.id, longest_idle)
+    max_idle = MAX_IDLE if repeatable else _MAX_UNREPEATABLE_IDLE_S
+    sock = state.connections.take(instance.id, max_idle)
     if sock is not None:
         return sock
     try:
@@ -123,40 +129,40 @@
     failure = await exchange.send(_prepare_call(state, ctx, choice))
     if failure is not None:
         return failure
-    ctx.out_at = state.clock()
-    head = await exchange.read(_get_attempt_end(state, ctx))
+    ctx.last_byte_sent_at = state.clock()
+    head = await exchange.read(_get_attempt_deadline(state, ctx))
     if isinstance(head, Failure):
         return head
     if not isinstance(head, Head):
         return Failure(Fault.AMBIGUOUS, "no head")
     if state.names.not_run.lower() in head.headers or head.status == MISDIRECTED:
-        return await _reject(exchange, head)
+        return await _read_rejection(exchange, head)
     signed = state.names.signature.lower() in head.headers
     if head.status < 300 and not signed:
         return Failure(Fault.AMBIGUOUS, "unsigned success", head.status)
-    if head.status in _PROMISES and not signed:
+    if head.status in _SIGNED_STATUSES and not signed:
         return Failure(Fault.AMBIGUOUS, "unsigned promise", head.status)
     if ctx.route.kind is RouteKind.STREAM and head.status == 200:
         return await streams.forward_stream(state, ctx, exchange, head, work)
     body = await exchange.read_body()
     if isinstance(body, Failure):
         return body
-    _note_answered(state, choice, work)
-    may_differ = _may_answer_differently(state, ctx, choice.instance)
-    if head.status >= _SERVER_ERROR and may_differ:
+    _observe_response(state, choice, work)
+    is_retry_useful = _is_retry_useful(state, ctx, choice.instance)
+    if head.status >= _MIN_SERVER_ERROR_STATUS and is_retry_useful:
         return Failure(Fault.AMBIGUOUS, "server error", head.status)
-    _send_answer(ctx, head, body)
+    _send_response(ctx, head, body)
     return None
 
 
-def _note_answered(state, choice, work):
+def _observe_response(state, choice, work):
     now = state.clock()
     state.loads.note_progress(work, now)
     if work.tokens == 0:
         state.loads.note_call(work, choice.instance.slots, now - work.sent)
 
 
-async def _reject(exchange, head):
+async def _read_rejection(exchange, head):
     # Reading the rest of a rejection keeps the connection for the next one.
     body = await exchange.read_body()
     if isinstance(body, Failure):
@@ -164,7 +170,7 @@
     return Failure(Fault.REJECTED, f"rejected with {head.status}", head.status)
 
 
-def _may_answer_differently(state, ctx, instance):
+def _is_retry_useful(state, ctx, instance):
     """Return whether a failed safe request is worth another upstream."""
     if ctx.route.kind is not RouteKind.SAFE or ctx.sends >= ctx.route.max_attempts:
         return False
@@ -173,7 +179,7 @@
     return has_alternative(state, ctx, state.clock(), besides=instance)
 
 
-def _get_attempt_end(state, ctx):
+def _get_attempt_deadline(state, ctx):
     """Return when to try elsewhere, for requests that may be repeated."""
     if ctx.route.kind is not RouteKind.SAFE or ctx.sends >= ctx.route.max_attempts:
         return None
@@ -184,9 +190,9 @@
 def _prepare_call(state, ctx, choice):
     names = state.names
     request = ctx.request
-    left = ctx.deadline + ANSWER_MARGIN - state.clock()
+    remaining = ctx.deadline + RESPONSE_MARGIN_S - state.clock()
     added = [
-        (names.deadline, str(max(1, int(left * 1000)))),
+        (names.deadline, str(max(1, int(remaining * 1000)))),
         (names.expected_instance, choice.instance.announced_id),
         (names.account, ctx.account.name if ctx.account else None),
         (names.fetch_from, choice.source.address if choice.source else None),
@@ -203,6 +209,6 @@
     )
 
 
-def _send_answer(ctx, head, body):
+def _send_response(ctx, head, body):
     ctx.answered = head.status
     ctx.reply.send(head.status, head.headers.items(), body)
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/checking.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/checking.py
@@ -6,25 +6,25 @@
 from ..view.store_readers import get_longest_age
 from ..view_source import get_version
 
-ANSWER_MARGIN = 0.03
-_UNREADY_RETRY = 0.5
-_ELSEWHERE_RETRY = 0.05
+RESPONSE_MARGIN_S = 0.03
+_UNREADY_RETRY_AFTER_S = 0.5
+_STOPPING_RETRY_AFTER_S = 0.05
 
 
-def check(state, ctx):
+def check_request(state, ctx):
     """Fill in the request; return a `Refusal` for what cannot be served."""
     if ctx.catalog is None or not state.catalog_known:
         # What operators have emptied must be known before the first send.
-        return Refusal(503, "not-ready", retry_after=_UNREADY_RETRY)
+        return Refusal(503, "not-ready", retry_after=_UNREADY_RETRY_AFTER_S)
     headers = ctx.request.headers
-    _note_own_headers(state, ctx)
-    denial = _check_allowed(ctx)
+    _record_reserved_headers(state, ctx)
+    denial = _authorize(ctx)
     if denial is not None:
-        return _deny(state, denial)
-    _note_time(state, ctx)
+        return _confirm_denial(state, denial)
+    _set_time_limit(state, ctx)
     ctx.deadline = ctx.arrived + ctx.allowed
-    if state.refusing and not _ends_in_time(state, ctx):
-        return Refusal(503, "stopping", retry_after=_ELSEWHERE_RETRY)
+    if state.refusing and not _ends_before_stop(state, ctx):
+        return Refusal(503, "stopping", retry_after=_STOPPING_RETRY_AFTER_S)
     ctx.service = _choose_service(state, ctx.route)
     ctx.last_event_id = headers.get(state.names.last_event_id)
     if ctx.route.kind is RouteKind.STREAM:
@@ -35,7 +35,7 @@
     return None
 
 
-def _check_allowed(ctx):
+def _authorize(ctx):
     """Fill in route and account; return a `Refusal` where there is none."""
     headers = ctx.request.headers
     ctx.route = ctx.catalog.find_route(headers.get("Host", ""), ctx.request.path)
@@ -50,7 +50,7 @@
     return None
 
 
-def _deny(state, denial):
+def _confirm_denial(state, denial):
     """Return a refusal that blames the client only where the configuration is new.
 
     A client that gets 404 or 401 does not retry, though what it asks for may have been
@@ -59,46 +59,46 @@
     """
     now = state.clock()
     age = state.freshness.get_age(now)
-    is_young = age is not None and age <= get_longest_age(state.cfg)
-    if is_young and not _is_passed_by(state, now):
+    is_fresh = age is not None and age <= get_longest_age(state.cfg)
+    if is_fresh and not _has_newer_peer(state, now):
         return denial
     return Refusal(
         503,
         "configuration-old",
-        retry_after=_UNREADY_RETRY,
+        retry_after=_UNREADY_RETRY_AFTER_S,
         inputs={"instead_of": denial.code},
     )
 
 
-def _is_passed_by(state, now):
+def _has_newer_peer(state, now):
     """Return whether a peer works by a newer configuration."""
     version = get_version(state)
     peers = state.members.get_live(now)
     return any(peer.report.catalog_version > version for peer in peers)
 
 
-def _note_own_headers(state, ctx):
+def _record_reserved_headers(state, ctx):
     """Count and log headers that the client may not set; they are not sent on."""
-    found = [name.lower() for name in ctx.request.headers]
-    found = [name for name in found if name in state.own_headers]
-    if not found:
+    reserved = [name.lower() for name in ctx.request.headers]
+    reserved = [name for name in reserved if name in state.own_headers]
+    if not reserved:
         return
-    for name in found:
+    for name in reserved:
         state.metrics.headers_dropped.labels(name).inc()
-    state.log.note("headers dropped", id=ctx.id, names=found)
+    state.log.note("headers dropped", id=ctx.id, names=reserved)
 
 
-def _note_time(state, ctx):
+def _set_time_limit(state, ctx):
     """Note how long the client and the route let the request take."""
-    wait = _get_client_wait(state, ctx)
-    if wait is None:
-        ctx.allowed = max(0.0, ctx.route.timeout - ANSWER_MARGIN)
+    client_timeout = _get_client_timeout(state, ctx)
+    if client_timeout is None:
+        ctx.allowed = max(0.0, ctx.route.timeout - RESPONSE_MARGIN_S)
         return
-    ctx.spent = state.patience.note(ctx.route.name, wait, ctx.arrived)
-    ctx.allowed = max(0.0, min(ctx.route.timeout, wait) - ANSWER_MARGIN)
+    ctx.spent = state.patience.note(ctx.route.name, client_timeout, ctx.arrived)
+    ctx.allowed = max(0.0, min(ctx.route.timeout, client_timeout) - RESPONSE_MARGIN_S)
 
 
-def _get_client_wait(state, ctx):
+def _get_client_timeout(state, ctx):
     """Return the seconds that the client will still wait, None where it is not said."""
     try:
         return float(ctx.request.headers.get(state.names.deadline)) / 1000.0
@@ -106,7 +106,7 @@
         return None
 
 
-def _ends_in_time(state, ctx):
+def _ends_before_stop(state, ctx):
     """Return whether a planned stop surely leaves the request its time.
 
     A stream may go on for as long as its client lets it; a call ends by its
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/recording.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/recording.py
@@ -7,15 +7,15 @@
 
 # Answers that blame the client for what it asks; wrong where the configuration in
 # force is an old one.
-_DENIALS = frozenset((401, 403, 404))
+_DENIAL_STATUSES = frozenset((401, 403, 404))
 # Characters of a client's host and path on a line: anybody may send anything.
-_MAX_ASKED = 80
+_MAX_ASKED_CHARS = 80
 
 
-def note_refusal(state, ctx, refusal):
+def record_refusal(state, ctx, refusal):
     """Count and log an answer of our own."""
     state.metrics.refused.labels(refusal.code).inc()
-    denied = refusal.status in _DENIALS
+    denied = refusal.status in _DENIAL_STATUSES
     state.log.note(
         "request refused",
         failed=True,
@@ -27,19 +27,19 @@
         account=ctx.account.name if ctx.account else None,
         version=ctx.catalog.version if ctx.catalog else None,
         sends=ctx.sends,
-        first_sent_ms=_get_first_sent(ctx),
+        first_sent_ms=_get_first_sent_ms(ctx),
         held_ms=to_milliseconds(state.clock() - ctx.arrived),
         retry_after=refusal.retry_after,
         **(refusal.inputs or {}),
-        **(_describe_asked(state, ctx) if denied else {}),
+        **(_describe_denial(state, ctx) if denied else {}),
     )
 
 
-def _describe_asked(state, ctx):
+def _describe_denial(state, ctx):
     """Return the fields that tell what was denied, and by which configuration."""
     request = ctx.request
     return {
-        "asked_host": request.headers.get("Host", "")[:_MAX_ASKED],
+        "asked_host": request.headers.get("Host", "")[:_MAX_ASKED_CHARS],
         "asked_path": _get_prefix(request.path),
         **describe_catalog(state, state.clock()),
     }
@@ -47,14 +47,14 @@
 
 def _get_prefix(path):
     """Return what a path has before its last slash, which routes go by."""
-    return path[: path.rfind("/") + 1][:_MAX_ASKED]
+    return path[: path.rfind("/") + 1][:_MAX_ASKED_CHARS]
 
 
-def note_result(state, ctx, choice, failure, work):
+def record_result(state, ctx, choice, failure, work):
     """Take in how a send ended: condition of the upstream, counters, a line."""
     now = state.clock()
     if failure is not None:
-        note_failure(state, ctx, choice, failure)
+        record_failure(state, ctx, choice, failure)
         return
     kind = ctx.route.kind.value
     state.metrics.served.labels(kind, ctx.answered).inc()
@@ -80,30 +80,30 @@
         ahead=work.ahead,
         running=work.running,
         latency_target_ms=to_milliseconds(ctx.route.latency_target),
-        first_sent_ms=_get_first_sent(ctx),
+        first_sent_ms=_get_first_sent_ms(ctx),
         first_ms=to_milliseconds(work.first or 0.0),
-        out_ms=_get_out(ctx),
+        out_ms=_get_out_ms(ctx),
         sends=ctx.sends,
         took_ms=to_milliseconds(now - ctx.arrived),
         **(describe_standing(ctx.standing) if ctx.standing else {}),
-        **ctx.belief,
+        **ctx.view_at_send,
     )
 
 
-def note_failure(state, ctx, choice, failure):
+def record_failure(state, ctx, choice, failure):
     """Take in a send that gave no whole answer."""
     now = state.clock()
     instance_id = choice.instance.id
-    pause = None
+    ejection_s = None
     state.metrics.send_failures.labels(failure.fault.value).inc()
     if failure.status == MISDIRECTED:
         state.loads.note_replaced(instance_id, now)
         state.connections.drop(instance_id)
-    elif _tells_nothing(state, instance_id, failure, now):
+    elif _is_unrelated_to_health(state, instance_id, failure, now):
         state.loads.note_released(instance_id, now)
     else:
         severe = failure.fault is Fault.NOT_SENT
-        pause = state.loads.note_error(instance_id, now, severe)
+        ejection_s = state.loads.note_error(instance_id, now, severe)
         if failure.status == 0:
             state.domains.note_failure(choice.instance.zone, now)
     state.log.note(
@@ -119,14 +119,14 @@
         fingerprint=format_fingerprint(ctx.fingerprint),
         upstream=instance_id,
         sends=ctx.sends,
-        ejected_s=pause,
+        ejected_s=ejection_s,
         waited_ms=to_milliseconds(now - ctx.arrived),
-        out_ms=_get_out(ctx),
-        **ctx.belief,
+        out_ms=_get_out_ms(ctx),
+        **ctx.view_at_send,
     )
 
 
-def _tells_nothing(state, instance_id, failure, now):
+def _is_unrelated_to_health(state, instance_id, failure, now):
     """Return whether a failure says nothing about the condition of its upstream.
 
     To shed load and ask for a pause is no fault, with or without a promise that the
@@ -137,23 +137,23 @@
     return failure.status > 0 and state.backoffs.is_active(instance_id, now)
 
 
-def note_sending(state, ctx, instance_id, now):
+def record_view_at_send(state, ctx, instance_id, now):
     """Remember what this gateway believes as it sends, for the line at the end."""
-    ctx.out_at = None
-    ctx.belief = {
+    ctx.last_byte_sent_at = None
+    ctx.view_at_send = {
         **describe_view(state, now),
         **describe_upstream(state, instance_id, now),
     }
 
 
-def _get_out(ctx):
+def _get_out_ms(ctx):
     """Return the milliseconds until the last byte left, None where none did."""
-    if ctx.out_at is None:
+    if ctx.last_byte_sent_at is None:
         return None
-    return to_milliseconds(ctx.out_at - ctx.arrived)
+    return to_milliseconds(ctx.last_byte_sent_at - ctx.arrived)
 
 
-def _get_first_sent(ctx):
+def _get_first_sent_ms(ctx):
     """Return the milliseconds until the first send, None where there was none."""
     if ctx.first_sent is None:
         return None
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/repeating.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/repeating.py
@@ -5,29 +5,29 @@
 from ..refusals import BUSY_RETRY, Refusal
 from ..upstreams.exchanges import MISDIRECTED, Fault
 
-UNRUN = frozenset((Fault.NOT_SENT, Fault.REJECTED))
+NOT_RUN_FAULTS = frozenset((Fault.NOT_SENT, Fault.REJECTED))
 
 
-def may_repeat(state, ctx, failure):
+def claim_retry(state, ctx, failure):
     """Return whether the request may go out once more, and take its repeat."""
     if failure.fault in (Fault.GONE, Fault.LATE):
         return False
     if ctx.reply.started and not _may_resume(ctx):
         return False
-    unrun = failure.fault is Fault.REJECTED
-    if not unrun and not ctx.route.repeatable:
+    not_run = failure.fault is Fault.REJECTED
+    if not not_run and not ctx.route.repeatable:
         return False
-    misdirected = unrun and failure.status == MISDIRECTED
+    misdirected = not_run and failure.status == MISDIRECTED
     if ctx.sends >= ctx.route.max_attempts and not misdirected:
         return False
     if ctx.sends > ctx.route.max_attempts:
         return False
-    if _ended_others(state, ctx):
+    if _has_crashed_several_upstreams(state, ctx):
         return False
     return state.retries.spend(ctx.service, state.clock())
 
 
-def _ended_others(state, ctx):
+def _has_crashed_several_upstreams(state, ctx):
     """Return whether upstreams ended under it more than once.
 
     To repeat it unasked could cost a third. The few that only ran there both times are
@@ -50,14 +50,14 @@
     return ctx.route.resumable and bool(ctx.last_event_id)
 
 
-def explain_late(ctx):
+def make_deadline_refusal(ctx):
     """Return the `Refusal` of a request whose time is up between sends."""
     if not ctx.may_have_run:
         return Refusal(503, "deadline", retry_after=BUSY_RETRY)
     return Refusal(504, "deadline", Outcome.UNKNOWN)
 
 
-def explain(state, ctx, failure):
+def make_failure_refusal(state, ctx, failure):
     """Return the `Refusal` that tells what became of the request, or None."""
     if failure.fault is Fault.GONE or ctx.reply.started:
         return Refusal(499, "client-gone", Outcome.UNKNOWN)
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
@@ -12,7 +12,7 @@
         "allowed",
         "answered",
         "arrived",
-        "belief",
+        "view_at_send",
         "catalog",
         "deadline",
         "draw",
@@ -23,7 +23,7 @@
         "is_trial",
         "last_event_id",
         "may_have_run",
-        "out_at",
+        "last_byte_sent_at",
         "prompt",
         "reply",
         "request",
@@ -53,8 +53,8 @@
         self.first_sent = None
         # Of the last send, for the log: what was believed of the view and the upstream,
         # and when the request's last byte was handed to the connection.
-        self.belief = {}
-        self.out_at = None
+        self.view_at_send = {}
+        self.last_byte_sent_at = None
         self.answered = 0
         self.last_event_id = None
         self.may_have_run = False
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retries.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retries.py
@@ -3,7 +3,7 @@
 import collections
 import threading
 
-_CAUTION = 0.7
+_SAFETY_FACTOR = 0.7
 
 
 class RetryBudget:
@@ -26,7 +26,7 @@
         self.gateways = 1
         self._lock = threading.Lock()
         self._requests = {}
-        self._repeats = {}
+        self._retries = {}
 
     def note_request(self, service, now):
         """Count the first send of a request."""
@@ -37,15 +37,15 @@
         """Take one repeat; return False where the budget is used up."""
         with self._lock:
             requests = self._trim(self._requests, service, now)
-            repeats = self._trim(self._repeats, service, now)
+            retries = self._trim(self._retries, service, now)
             allowed = self.ratio * len(requests) + self.slack / self.gateways
-            if len(repeats) + 1 > _CAUTION * allowed:
+            if len(retries) + 1 > _SAFETY_FACTOR * allowed:
                 return False
-            repeats.append(now)
+            retries.append(now)
             return True
 
     def _trim(self, table, service, now):
-        rows = table.setdefault(service, collections.deque())
-        while rows and rows[0] < now - self.window:
-            rows.popleft()
-        return rows
+        times = table.setdefault(service, collections.deque())
+        while times and times[0] < now - self.window:
+            times.popleft()
+        return times
