--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -19,9 +19,9 @@
 )
 from ..upstreams.upstream_signals import observe_head
 from ..view.catalog import RouteKind
-from .checking import RESPONSE_MARGIN_S
 from .pause_recovery import is_view_stale, wait_for_view
-from .recording import record_failure, record_result, record_view_at_send
+from .request_checks import RESPONSE_MARGIN_S
+from .request_records import record_failure, record_result, record_view_at_send
 
 _MAX_UNREPEATABLE_IDLE_S = 1.0
 _SIGNED_STATUSES = frozenset((408, 421, 429, 503))
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
@@ -19,17 +19,17 @@
 from ..transport.replies import ClientGone
 from ..upstreams.exchanges import Fault
 from .attempts import attempt
-from .checking import check_request
 from .pause_recovery import wait_for_view
-from .recording import record_refusal
-from .repeating import (
+from .request_checks import check_request
+from .request_context import RequestContext
+from .request_records import record_refusal
+from .retry_policy import (
     NOT_RUN_FAULTS,
     claim_retry,
     downgrade_if_ambiguous,
     make_deadline_refusal,
     make_failure_refusal,
 )
-from .request_context import RequestContext
 
 _MIN_REMAINING_S = 0.02
 _MAX_CONNECT_FAILURE_COUNT = 3
--- a/packages/valeweir_gateway/tests/test_checking.py
+++ b/packages/valeweir_gateway/tests/test_checking.py
@@ -10,7 +10,7 @@
 
 from valeweir_gateway.fleet.members import Member
 from valeweir_gateway.fleet.reports import VERSION, Report, Role
-from valeweir_gateway.forwarding.checking import check_request
+from valeweir_gateway.forwarding.request_checks import check_request
 from valeweir_gateway.forwarding.request_context import RequestContext
 from valeweir_gateway.transport.requests import Headers, Request
 from valeweir_gateway.view.catalog import (
--- a/packages/valeweir_gateway/tests/test_recording.py
+++ b/packages/valeweir_gateway/tests/test_recording.py
@@ -1,8 +1,8 @@
 import unittest
 
 from valeweir_gateway.fleet.members import Member
-from valeweir_gateway.forwarding.recording import record_refusal
 from valeweir_gateway.forwarding.request_context import RequestContext
+from valeweir_gateway.forwarding.request_records import record_refusal
 from valeweir_gateway.refusals import Refusal
 from valeweir_gateway.transport.requests import Headers, Request
 from valeweir_gateway.view.catalog import Catalog, Limits
