--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/__init__.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""The way of one request: checks, admission, placement, sends, repeats, records of it.
+"""Forwarding of one request: checks, admission, placement, sends, retries and logs.
 
 Imports all packages but ``fleet`` and ``operations``.
 """
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -1,4 +1,4 @@
-"""One send of a request to one upstream instance, and its answer."""
+"""One send of a request to one upstream instance, and the handling of its response."""
 
 from ..placement.candidates import find_obstacle, has_alternative
 from ..quarantine.crash_attribution import (
@@ -30,9 +30,9 @@
 
 
 async def attempt(state, ctx, choice):
-    """Send once; return None when answered, or the `Failure`."""
+    """Send the request once; return None if it was answered, else the `Failure`."""
     instance = choice.instance
-    # Requests that were chosen for before a standstill are sent on after it.
+    # The instance may have been chosen before a pause of the process.
     await wait_for_view(state)
     sock = await _get_socket(state, ctx, instance)
     if isinstance(sock, Failure):
@@ -44,7 +44,7 @@
         sock.close()
         state.metrics.sends_withheld.labels(obstacle).inc()
         return Failure(
-            Fault.NOT_SENT, f"the instance takes no more for now: {obstacle}"
+            Fault.NOT_SENT, f"request withheld from the instance: {obstacle}"
         )
     exchange = Exchange(
         sock,
@@ -74,19 +74,23 @@
         and failure.fault in _TIMEOUT_FAULTS
         and not exchange.is_heard
     ):
-        # The connection may have fallen silent, and those kept beside it as well. Each
-        # would cost another request all of its time; a new one costs a round trip.
+        # The connection may have gone silent, and the idle ones to this instance as
+        # well. Each of them would cost another request its whole time limit, while a
+        # new connection costs a round trip.
         state.connections.drop(instance.id)
     if failure is None:
         on_request_answered(state, ctx)
     elif failure.broke_off:
-        # Before the next send: it may be what ends them.
+        # Before the next send, as this request may have crashed the upstream.
         await on_connection_broken(state, ctx, instance, work.sent)
     return failure
 
 
 def _find_obstacle(state, ctx, instance, now):
-    """Return why the request may not be sent now, after all that it waited for."""
+    """Return why the request may not be sent now, or None.
+
+    Conditions may have changed while it waited for the view and the connection.
+    """
     if is_quarantined(state, ctx):
         return "quarantined"
     if is_view_stale(state, now):
@@ -122,7 +126,7 @@
         return await connect(instance.address, ctx.reply)
     except OSError as exc:
         fault = Fault.GONE if ctx.reply.is_gone else Fault.NOT_SENT
-        return Failure(fault, f"no connection: {exc}")
+        return Failure(fault, f"connection failed: {exc}")
 
 
 async def _exchange(state, ctx, choice, exchange, work):
@@ -134,14 +138,14 @@
     if isinstance(head, Failure):
         return head
     if not isinstance(head, Head):
-        return Failure(Fault.AMBIGUOUS, "no head")
+        return Failure(Fault.AMBIGUOUS, "response without a head")
     if state.names.not_run.lower() in head.headers or head.status == MISDIRECTED:
         return await _read_rejection(exchange, head)
     signed = state.names.signature.lower() in head.headers
     if head.status < 300 and not signed:
-        return Failure(Fault.AMBIGUOUS, "unsigned success", head.status)
+        return Failure(Fault.AMBIGUOUS, "unsigned success status", head.status)
     if head.status in _SIGNED_STATUSES and not signed:
-        return Failure(Fault.AMBIGUOUS, "unsigned promise", head.status)
+        return Failure(Fault.AMBIGUOUS, "unsigned not-run status", head.status)
     if ctx.route.kind is RouteKind.STREAM and head.status == 200:
         return await streams.forward_stream(state, ctx, exchange, head, work)
     body = await exchange.read_body()
@@ -163,15 +167,15 @@
 
 
 async def _read_rejection(exchange, head):
-    # Reading the rest of a rejection keeps the connection for the next one.
+    # The connection can only be reused once the whole response is read.
     body = await exchange.read_body()
     if isinstance(body, Failure):
         exchange.close()
-    return Failure(Fault.REJECTED, f"rejected with {head.status}", head.status)
+    return Failure(Fault.REJECTED, f"rejected with status {head.status}", head.status)
 
 
 def _is_retry_useful(state, ctx, instance):
-    """Return whether a failed safe request is worth another upstream."""
+    """Return whether a failed safe request should be sent to another upstream."""
     if ctx.route.kind is not RouteKind.SAFE or ctx.sends >= ctx.route.max_attempts:
         return False
     if ctx.deadline - state.clock() < ctx.route.latency_target / 4:
@@ -180,7 +184,7 @@
 
 
 def _get_attempt_deadline(state, ctx):
-    """Return when to try elsewhere, for requests that may be repeated."""
+    """Return when to try another upstream, or None if no other attempt is allowed."""
     if ctx.route.kind is not RouteKind.SAFE or ctx.sends >= ctx.route.max_attempts:
         return None
     now = state.clock()
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
@@ -1,4 +1,4 @@
-"""The way of one request: checks, place, send, answer."""
+"""The request handler: checks, admission, choice of an upstream, sends and response."""
 
 from valeweir.models import Outcome
 
@@ -33,31 +33,32 @@
 
 _MIN_REMAINING_S = 0.02
 _MAX_CONNECT_FAILURE_COUNT = 3
-# Part of the latency target that a request may wait for others at an engine before more
-# engines are looked at.
+# Part of the latency target that a request may queue at an engine before other engines
+# are considered.
 _MAX_QUEUE_WAIT_RATIO = 0.15
 
 
 def create_handler(state):
-    """Return the function that serves clients' requests."""
+    """Return the coroutine function that handles requests of clients."""
 
     async def handle(request, reply):
         if state.stopping or state.overload.is_out:
-            # A connection stays with its gateway; a new one goes to another, as the
-            # balancer sends none here now.
+            # An open connection stays with this gateway. A new one goes to another, as
+            # the balancer sends none here now.
             reply.close()
         state.enter()
         try:
             arrived = state.clock()
             await wait_for_view(state)
             await _handle(state, request, reply, arrived)
-            # A planned stop waits for what clients have not read yet.
+            # A planned stop waits until clients have read their responses.
             await reply.flush()
         except ClientGone:
-            # What was under way for it has been noted where it was seen.
+            # Already recorded where it was detected.
             pass
         except Exception as exc:
-            # One request's fault must neither end a connection nor go unanswered.
+            # An error in one request must neither close the connection nor leave the
+            # request unanswered.
             _answer_failure(state, request, reply, exc)
         finally:
             state.leave()
@@ -80,21 +81,21 @@
 
 
 async def _admit(state, ctx):
-    """Wait for the request's turn; return a `Refusal` or None."""
+    """Wait for admission; return a `Refusal` or None."""
     _record_demand(state, ctx)
-    # Its share goes first: who is told to come back elsewhere at once would only
-    # flood the next gateway.
+    # The share is checked first: an account over its share that is sent to another
+    # gateway would only flood that one.
     refusal = admission.decide_by_share(state, ctx, ctx.arrived)
     if refusal is not None:
         return refusal
     refusal = admission.decide_by_pressure(state, ctx, ctx.arrived)
     if refusal is not None:
-        # Its next request may go elsewhere too.
+        # The client's next request may go to another gateway as well.
         ctx.reply.close()
         return refusal
     await state.intake.enter()
     if ctx.reply.is_gone:
-        # It has waited too long; work on it would be for nobody.
+        # The client gave up while the request waited.
         state.overload.note_left(state.clock())
         return Refusal(499, "client-gone-unread")
     return None
@@ -122,7 +123,10 @@
 
 
 async def _serve(state, ctx):
-    """Send the request until it is answered; return a `Refusal` or None."""
+    """Send the request until it is answered or may not be retried.
+
+    Returns a `Refusal` or None.
+    """
     connect_failures = 0
     while True:
         now = state.clock()
@@ -142,14 +146,17 @@
             if connect_failures < _MAX_CONNECT_FAILURE_COUNT:
                 continue
             return _make_failure_refusal(state, ctx, failure)
-        # First, as a repeat that nobody takes must not use up the budget.
+        # Checked first, as a retry without an available upstream must not spend budget.
         can_resend = has_alternative(state, ctx, state.clock())
         if not can_resend or not claim_retry(state, ctx, failure):
             return _make_failure_refusal(state, ctx, failure)
 
 
 def _make_failure_refusal(state, ctx, failure):
-    """Return the `Refusal` after a failed send, with a true time to come back."""
+    """Return the `Refusal` after a failed send.
+
+    While all instances ask for a pause, Retry-After is the time until one ends.
+    """
     refusal = make_failure_refusal(state, ctx, failure)
     if refusal.retry_after is None:
         return refusal
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_checks.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_checks.py
@@ -1,4 +1,4 @@
-"""What a request asks for, and whether the configuration allows it."""
+"""Checks of a request against the configuration."""
 
 from ..placement.prompts import parse_prompt
 from ..refusals import Refusal
@@ -12,9 +12,9 @@
 
 
 def check_request(state, ctx):
-    """Fill in the request; return a `Refusal` for what cannot be served."""
+    """Fill in the context; return a `Refusal` if the request cannot be served."""
     if ctx.catalog is None or not state.catalog_known:
-        # What operators have emptied must be known before the first send.
+        # Evacuated failure domains must be known before the first send.
         return Refusal(503, "not-ready", retry_after=_UNREADY_RETRY_AFTER_S)
     headers = ctx.request.headers
     _record_reserved_headers(state, ctx)
@@ -36,7 +36,7 @@
 
 
 def _authorize(ctx):
-    """Fill in route and account; return a `Refusal` where there is none."""
+    """Set route and account; return a `Refusal` if either is unknown."""
     headers = ctx.request.headers
     ctx.route = ctx.catalog.find_route(headers.get("Host", ""), ctx.request.path)
     if ctx.route is None:
@@ -51,11 +51,11 @@
 
 
 def _confirm_denial(state, denial):
-    """Return a refusal that blames the client only where the configuration is new.
+    """Return the 404 or 401 only if the configuration is fresh, otherwise a 503.
 
-    A client that gets 404 or 401 does not retry, though what it asks for may have been
-    added since this gateway last heard of changes. It reads them meanwhile, so this
-    costs no call of the store, however many such requests come.
+    Clients do not retry after 404 or 401, although the route or account may have been
+    added since this gateway last received changes. The configuration is refreshed in
+    the background, so that such requests cause no calls of the store.
     """
     now = state.clock()
     age = state.freshness.get_age(now)
@@ -71,14 +71,14 @@
 
 
 def _has_newer_peer(state, now):
-    """Return whether a peer works by a newer configuration."""
+    """Return whether a peer has a newer configuration."""
     version = get_version(state)
     peers = state.members.get_live(now)
     return any(peer.report.catalog_version > version for peer in peers)
 
 
 def _record_reserved_headers(state, ctx):
-    """Count and log headers that the client may not set; they are not sent on."""
+    """Count and log headers that clients may not set; they are not forwarded."""
     reserved = [name.lower() for name in ctx.request.headers]
     reserved = [name for name in reserved if name in state.own_headers]
     if not reserved:
@@ -89,7 +89,7 @@
 
 
 def _set_time_limit(state, ctx):
-    """Note how long the client and the route let the request take."""
+    """Set the time limit of the request from its route and its client's deadline."""
     client_timeout = _get_client_timeout(state, ctx)
     if client_timeout is None:
         ctx.allowed = max(0.0, ctx.route.timeout - RESPONSE_MARGIN_S)
@@ -99,7 +99,7 @@
 
 
 def _get_client_timeout(state, ctx):
-    """Return the seconds that the client will still wait, None where it is not said."""
+    """Return how many seconds the client will wait, or None if it does not state it."""
     try:
         return float(ctx.request.headers.get(state.names.deadline)) / 1000.0
     except (TypeError, ValueError):
@@ -107,10 +107,9 @@
 
 
 def _ends_before_stop(state, ctx):
-    """Return whether a planned stop surely leaves the request its time.
+    """Return whether the request is sure to end before a planned stop.
 
-    A stream may go on for as long as its client lets it; a call ends by its
-    deadline.
+    A call ends by its deadline, but a stream lasts as long as its client allows.
     """
     return ctx.route.kind is not RouteKind.STREAM and ctx.deadline < state.stop_end
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
@@ -1,10 +1,10 @@
-"""A request on its way through a gateway."""
+"""The context of a request in a gateway."""
 
 from ..quarantine.fingerprints import get_fingerprint
 
 
 class RequestContext:
-    """One request on its way. Times are on the steady clock."""
+    """State of one request while it is handled. Times are on the steady clock."""
 
     __slots__ = (
         "_fingerprint",
@@ -45,31 +45,32 @@
         self.prompt = None
         self.allowed = 0.0
         self.deadline = arrived
-        # Seconds that its client has spent on tries before this one.
+        # Seconds that the client has spent on earlier tries of this request.
         self.spent = 0.0
         self.service = None
         self.excluded = set()
         self.sends = 0
         self.first_sent = None
-        # Of the last send, for the log: what was believed of the view and the upstream,
-        # and when the request's last byte was handed to the connection.
+        # For the log of the last send: the gateway's view of the upstream, and when the
+        # request's last byte was written to the connection.
         self.view_at_send = {}
         self.last_byte_sent_at = None
         self.answered = 0
         self.last_event_id = None
         self.may_have_run = False
         self.standing = None
-        # Less than any other: a request that was not drawn for passes.
+        # Random number for admission. The lowest value admits a request for which none
+        # was drawn.
         self.draw = 0.0
-        # The warming instance that it may be sent to, see `slowstart`.
+        # Id of the warming instance that the request may be sent to, see `slowstart`.
         self.permit = None
-        # Whether it tries out a request in quarantine.
+        # Whether this is a trial of a quarantined request.
         self.is_trial = False
         self._fingerprint = None
 
     @property
     def fingerprint(self):
-        """Return what tells that another try asks for the same, see `fingerprints`."""
+        """Return the digest that retries of the request share, see `fingerprints`."""
         if self._fingerprint is None:
             self._fingerprint = get_fingerprint(self.account, self.request)
         return self._fingerprint
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
@@ -1,19 +1,18 @@
-"""What is counted and logged of requests, and learned of upstreams."""
+"""Metrics and log lines of requests, and health observations of their upstreams."""
 
 from ..admission.shares import describe_standing
 from ..quarantine.fingerprints import format_fingerprint
 from ..upstreams.exchanges import MISDIRECTED, Fault
 from ..view_source import describe_catalog, describe_upstream, describe_view
 
-# Answers that blame the client for what it asks; wrong where the configuration in
-# force is an old one.
+# Statuses that deny a client's request; wrong if the configuration is outdated.
 _DENIAL_STATUSES = frozenset((401, 403, 404))
-# Characters of a client's host and path on a line: anybody may send anything.
+# Limits the client's host and path in log lines, as clients may send anything.
 _MAX_ASKED_CHARS = 80
 
 
 def record_refusal(state, ctx, refusal):
-    """Count and log an answer of our own."""
+    """Count and log a refusal by this gateway."""
     state.metrics.refused.labels(refusal.code).inc()
     denied = refusal.status in _DENIAL_STATUSES
     state.log.note(
@@ -36,7 +35,7 @@
 
 
 def _describe_denial(state, ctx):
-    """Return the fields that tell what was denied, and by which configuration."""
+    """Return log fields of what was denied, and by which configuration."""
     request = ctx.request
     return {
         "asked_host": request.headers.get("Host", "")[:_MAX_ASKED_CHARS],
@@ -46,12 +45,12 @@
 
 
 def _get_prefix(path):
-    """Return what a path has before its last slash, which routes go by."""
+    """Return the path up to its last slash, the part that routes match."""
     return path[: path.rfind("/") + 1][:_MAX_ASKED_CHARS]
 
 
 def record_result(state, ctx, choice, failure, work):
-    """Take in how a send ended: condition of the upstream, counters, a line."""
+    """Record the end of a send: health of the upstream, metrics and a log line."""
     now = state.clock()
     if failure is not None:
         record_failure(state, ctx, choice, failure)
@@ -91,7 +90,7 @@
 
 
 def record_failure(state, ctx, choice, failure):
-    """Take in a send that gave no whole answer."""
+    """Record a send without a complete response."""
     now = state.clock()
     instance_id = choice.instance.id
     ejection_s = None
@@ -127,10 +126,10 @@
 
 
 def _is_unrelated_to_health(state, instance_id, failure, now):
-    """Return whether a failure says nothing about the condition of its upstream.
+    """Return whether a failure does not count against the health of its upstream.
 
-    To shed load and ask for a pause is no fault, with or without a promise that the
-    request has not run.
+    Shedding load and asking for a pause is no fault, whether or not the response also
+    states that the request was not run.
     """
     if failure.fault in (Fault.GONE, Fault.LATE, Fault.REJECTED):
         return True
@@ -138,7 +137,7 @@
 
 
 def record_view_at_send(state, ctx, instance_id, now):
-    """Remember what this gateway believes as it sends, for the line at the end."""
+    """Store this gateway's view of the upstream as it sends, for the final log line."""
     ctx.last_byte_sent_at = None
     ctx.view_at_send = {
         **describe_view(state, now),
@@ -147,19 +146,19 @@
 
 
 def _get_out_ms(ctx):
-    """Return the milliseconds until the last byte left, None where none did."""
+    """Return the milliseconds until the last byte was sent, or None if it was not."""
     if ctx.last_byte_sent_at is None:
         return None
     return to_milliseconds(ctx.last_byte_sent_at - ctx.arrived)
 
 
 def _get_first_sent_ms(ctx):
-    """Return the milliseconds until the first send, None where there was none."""
+    """Return the milliseconds until the first send, or None if there was none."""
     if ctx.first_sent is None:
         return None
     return to_milliseconds(ctx.first_sent - ctx.arrived)
 
 
 def to_milliseconds(seconds):
-    """Return milliseconds, rounded for the log."""
+    """Return seconds as milliseconds, rounded for the log."""
     return round(seconds * 1000.0, 1)
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retries.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retries.py
@@ -1,4 +1,4 @@
-"""This gateway's part of the fleet's budget of repeated sends."""
+"""This gateway's part of the fleet's retry budget."""
 
 import collections
 import threading
@@ -7,14 +7,14 @@
 
 
 class RetryBudget:
-    """Repeated sends by service within a sliding window.
+    """Budget of retries per service within a sliding window.
 
     Parameters
     ----------
     ratio : float
-        Repeats allowed for each request of the window, fleet-wide.
+        Retries allowed per request in the window, fleet-wide.
     slack : float
-        Repeats allowed besides, fleet-wide; dealt out among the gateways.
+        Further retries allowed, fleet-wide; divided among the gateways.
     window : float
         Length of the window in seconds.
     """
@@ -34,7 +34,7 @@
             self._requests.setdefault(service, collections.deque()).append(now)
 
     def spend(self, service, now):
-        """Take one repeat; return False where the budget is used up."""
+        """Spend one retry; return False if the budget is used up."""
         with self._lock:
             requests = self._trim(self._requests, service, now)
             retries = self._trim(self._retries, service, now)
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retry_policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent again, and what its client is told if not."""
+"""Whether a request may be retried, and the refusal sent to the client if not."""
 
 from valeweir.models import Outcome
 
@@ -9,7 +9,7 @@
 
 
 def claim_retry(state, ctx, failure):
-    """Return whether the request may go out once more, and take its repeat."""
+    """Return whether the request may be sent again, and spend retry budget for it."""
     if failure.fault in (Fault.GONE, Fault.LATE):
         return False
     if ctx.reply.started and not _may_resume(ctx):
@@ -28,10 +28,10 @@
 
 
 def _has_crashed_several_upstreams(state, ctx):
-    """Return whether upstreams ended under it more than once.
+    """Return whether more than one upstream crashed while it ran this request.
 
-    To repeat it unasked could cost a third. The few that only ran there both times are
-    told the truth, and their clients may try again.
+    An automatic retry could crash a third. The few requests that merely ran beside both
+    crashes get an error, and their clients may retry them.
     """
     if not state.suspects:
         return False
@@ -39,26 +39,26 @@
 
 
 def downgrade_if_ambiguous(ctx, refusal):
-    """Return the refusal, or one that promises nothing where it may have run."""
+    """Return the refusal, or one of unknown outcome if the request may have run."""
     if ctx.may_have_run:
         return Refusal(502, refusal.code, Outcome.UNKNOWN)
     return refusal
 
 
 def _may_resume(ctx):
-    """Return whether a stream that broke may go on inside the same answer."""
+    """Return whether a broken stream may continue within the same response."""
     return ctx.route.resumable and bool(ctx.last_event_id)
 
 
 def make_deadline_refusal(ctx):
-    """Return the `Refusal` of a request whose time is up between sends."""
+    """Return the `Refusal` of a request whose deadline passes between sends."""
     if not ctx.may_have_run:
         return Refusal(503, "deadline", retry_after=BUSY_RETRY)
     return Refusal(504, "deadline", Outcome.UNKNOWN)
 
 
 def make_failure_refusal(state, ctx, failure):
-    """Return the `Refusal` that tells what became of the request, or None."""
+    """Return the `Refusal` after a failed send, with the outcome of the request."""
     if failure.fault is Fault.GONE or ctx.reply.started:
         return Refusal(499, "client-gone", Outcome.UNKNOWN)
     if failure.fault is Fault.LATE:
