--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -109,9 +109,10 @@
 def _record_prompt_parts(state, ctx, choice, now):
     shared = ctx.prompt.shared
     instance_id = choice.instance.id
-    known = state.loads.is_cached
+    is_cached = state.loads.is_cached
     state.reads.add(
-        instance_id, [part for part in shared if not known(part.id, instance_id, now)]
+        instance_id,
+        [part for part in shared if not is_cached(part.id, instance_id, now)],
     )
     state.loads.note_parts(shared, instance_id, now)
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
@@ -145,14 +145,14 @@
             connect_failures += 1
             if connect_failures < _MAX_CONNECT_FAILURE_COUNT:
                 continue
-            return _make_failure_refusal(state, ctx, failure)
+            return _make_final_refusal(state, ctx, failure)
         # Checked first, as a retry without an available upstream must not spend budget.
         can_resend = has_alternative(state, ctx, state.clock())
         if not can_resend or not claim_retry(state, ctx, failure):
-            return _make_failure_refusal(state, ctx, failure)
+            return _make_final_refusal(state, ctx, failure)
 
 
-def _make_failure_refusal(state, ctx, failure):
+def _make_final_refusal(state, ctx, failure):
     """Return the `Refusal` after a failed send.
 
     While all instances ask for a pause, Retry-After is the time until one ends.
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crashes.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crashes.py
@@ -85,10 +85,10 @@
             self._record_instance_crash(fingerprint, crash)
             if now - self._cleared.get(fingerprint, -_CLEARED_TTL_S) < _CLEARED_TTL_S:
                 return None
-            rows = self._crashes.setdefault(fingerprint, [])
-            before = count_crashes(rows)
-            _merge(rows, crash)
-            count = count_crashes(rows)
+            crashes = self._crashes.setdefault(fingerprint, [])
+            before = count_crashes(crashes)
+            _merge(crashes, crash)
+            count = count_crashes(crashes)
             # Keeps the dict in order of the latest crash, the oldest first.
             self._crashes[fingerprint] = self._crashes.pop(fingerprint)
             self._trim()
@@ -125,8 +125,8 @@
     def drop_expired(self, now):
         """Drop requests whose last crash is too long ago."""
         with self._lock:
-            for fingerprint, rows in list(self._crashes.items()):
-                if now - rows[-1].ended > _SUSPECT_TTL_S:
+            for fingerprint, crashes in list(self._crashes.items()):
+                if now - crashes[-1].ended > _SUSPECT_TTL_S:
                     del self._crashes[fingerprint]
             for fingerprint, cleared_at in list(self._cleared.items()):
                 if now - cleared_at > _CLEARED_TTL_S:
@@ -151,13 +151,13 @@
             del self._crashes[fingerprint]
 
 
-def count_crashes(rows):
+def count_crashes(crashes):
     """Return the `CrashCount` of crashes sorted by ``ended``."""
     upstreams = 0
     runs = 0
     last_ended = {}
     run_ended = float("-inf")
-    for crash in rows:
+    for crash in crashes:
         earlier = last_ended.get(crash.instance)
         if earlier is None or crash.ended - earlier >= _SAME_CRASH_WINDOW_S:
             upstreams += 1
@@ -176,15 +176,15 @@
     )
 
 
-def _merge(rows, crash):
+def _merge(crashes, crash):
     """Insert a crash sorted by ``ended``, or merge it with a known report of it."""
-    for idx, known in enumerate(rows):
+    for idx, known in enumerate(crashes):
         if is_same_crash(known.instance, known.ended, crash):
             # The gateway that detected the crash first has the most accurate times.
             sent = max(known.sent, crash.sent)
-            rows[idx] = Crash(known.instance, sent, min(known.ended, crash.ended))
+            crashes[idx] = Crash(known.instance, sent, min(known.ended, crash.ended))
             break
     else:
-        rows.append(crash)
-    rows.sort(key=lambda row: row.ended)
-    del rows[:-_MAX_CRASH_COUNT]
+        crashes.append(crash)
+    crashes.sort(key=lambda item: item.ended)
+    del crashes[:-_MAX_CRASH_COUNT]
