--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -24,6 +24,7 @@
 from .request_records import record_failure, record_result, record_view_at_send
 
 _MAX_UNREPEATABLE_IDLE_S = 1.0
+# Statuses that imply that the request was not run; trusted only with a signature.
 _SIGNED_STATUSES = frozenset((408, 421, 429, 503))
 _MIN_SERVER_ERROR_STATUS = 500
 _TIMEOUT_FAULTS = frozenset((Fault.LATE, Fault.SLOW))
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
@@ -95,7 +95,8 @@
         return refusal
     await state.intake.enter()
     if ctx.reply.is_gone:
-        # The client gave up while the request waited.
+        # The client disconnected while the request waited for admission, so the work on
+        # it would be wasted.
         state.overload.note_left(state.clock())
         return Refusal(499, "client-gone-unread")
     return None
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crashes.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crashes.py
@@ -28,8 +28,8 @@
 # Instance crashes kept, and how long they count as recent.
 _MAX_INSTANCE_CRASH_COUNT = 64
 _RECENT_CRASH_WINDOW_S = 60.0
-# For this time after a complete response, crash reports for the request are ignored,
-# as other gateways may report earlier crashes late.
+# How long after a complete response crash reports for the request are ignored, as other
+# gateways may report earlier crashes late.
 _CLEARED_TTL_S = 5.0
 
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/records.py
@@ -24,7 +24,7 @@
 # operators have had time to act.
 _FIRST_TRIAL_DELAY_S = 15.0
 _TRIAL_DELAY_FACTOR = 4.0
-# After as many trials without a complete response, only an operator releases the
+# After this many trials without a complete response, only an operator can release the
 # request before it expires.
 _MAX_TRIAL_COUNT = 2
 # The first trial of an unconfirmed quarantine is due at once, further ones after this
