--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
@@ -156,7 +156,7 @@
         news = [
             notice
             for notice in get_notices(report, now)
-            if crash_attribution.take_notice(state, notice, now)
+            if crash_attribution.apply_notice(state, notice, now)
         ]
         self._links.forward_notices(news, report.role, report.host)
         for instance, part in report.reads:
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -100,7 +100,7 @@
 
 
 def _record_first_send(state, ctx, now):
-    state.retries.note_request(ctx.service, now)
+    state.retries.record_request(ctx.service, now)
     if ctx.account is not None and ctx.prompt is not None:
         name, cost = ctx.account.name, ctx.prompt.cost
         state.shares.note_begun(name, cost, now)
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retries.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retries.py
@@ -28,7 +28,7 @@
         self._requests = {}
         self._retries = {}
 
-    def note_request(self, service, now):
+    def record_request(self, service, now):
         """Count the first send of a request."""
         with self._lock:
             self._requests.setdefault(service, collections.deque()).append(now)
--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -101,7 +101,7 @@
         asyncio.run_coroutine_threadsafe(self._open(), self._loop).result(_OPEN_WAIT)
         self.timers.subscribe("idle", _STALE_CHECK, state.connections.drop_stale)
         self.timers.subscribe(
-            "quarantine", _STALE_CHECK, lambda: crash_attribution.end_old(state)
+            "quarantine", _STALE_CHECK, lambda: crash_attribution.release_expired(state)
         )
         self.timers.subscribe(
             "backoffs", _BACKOFF_CHECK, lambda: upstream_signals.end_backoffs(state)
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crash_attribution.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crash_attribution.py
@@ -115,7 +115,7 @@
         )
 
 
-def take_notice(state, notice, now):
+def apply_notice(state, notice, now):
     """Apply a peer's notice; return whether it is new to this gateway."""
     fingerprint, crash = notice
     if crash is None:
@@ -128,7 +128,7 @@
     return count is not None
 
 
-def take_record(state, fingerprint, record, now):
+def apply_record(state, fingerprint, record, now):
     """Apply a record of the store; ``record`` is None when it was removed."""
     text = format_fingerprint(fingerprint)
     if record is None:
@@ -158,7 +158,7 @@
     return True
 
 
-def end_old(state):
+def release_expired(state):
     """Release expired quarantines; each gateway does so on its own."""
     now = state.clock()
     state.suspects.drop_expired(now)
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -269,7 +269,7 @@
         except ValueError as exc:
             self._note_bad(entry.key, entry.offset, exc)
             return
-        crash_attribution.take_record(
+        crash_attribution.apply_record(
             self._state, fingerprint, record, self._state.clock()
         )
 
