--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -1,7 +1,11 @@
-"""One send of a request to one upstream instance, and its answer."""
+"""One send of a request to one upstream instance, and the handling of its response."""
 
 from ..placement.candidates import find_obstacle, has_alternative
-from ..quarantine.crash_attribution import is_held, note_answered, note_broken_off
+from ..quarantine.crash_attribution import (
+    is_quarantined,
+    on_connection_broken,
+    on_request_answered,
+)
 from ..transport.answers import Head
 from ..upstreams import streams
 from ..upstreams.connections import MAX_IDLE, connect
@@ -15,24 +19,25 @@
 )
 from ..upstreams.upstream_signals import observe_head
 from ..view.catalog import RouteKind
-from .checking import ANSWER_MARGIN
-from .pause_recovery import is_behind, wait_for_view
-from .recording import note_failure, note_result, note_sending
+from .pause_recovery import is_view_stale, wait_for_view
+from .request_checks import RESPONSE_MARGIN_S
+from .request_records import record_failure, record_result, record_view_at_send
 
-_FRESH_WITHIN = 1.0
-_PROMISES = frozenset((408, 421, 429, 503))
-_SERVER_ERROR = 500
-_TIME_UP = frozenset((Fault.LATE, Fault.SLOW))
+_MAX_UNREPEATABLE_IDLE_S = 1.0
+# Statuses that imply that the request was not run; trusted only with a signature.
+_SIGNED_STATUSES = frozenset((408, 421, 429, 503))
+_MIN_SERVER_ERROR_STATUS = 500
+_TIMEOUT_FAULTS = frozenset((Fault.LATE, Fault.SLOW))
 
 
 async def attempt(state, ctx, choice):
-    """Send once; return None when answered, or the `Failure`."""
+    """Send the request once; return None if it was answered, else the `Failure`."""
     instance = choice.instance
-    # Requests that were chosen for before a standstill are sent on after it.
+    # The instance may have been chosen before a pause of the process.
     await wait_for_view(state)
     sock = await _get_socket(state, ctx, instance)
     if isinstance(sock, Failure):
-        note_failure(state, ctx, choice, sock)
+        record_failure(state, ctx, choice, sock)
         return sock
     now = state.clock()
     obstacle = _find_obstacle(state, ctx, instance, now)
@@ -40,128 +45,139 @@
         sock.close()
         state.metrics.sends_withheld.labels(obstacle).inc()
         return Failure(
-            Fault.NOT_SENT, f"the instance takes no more for now: {obstacle}"
+            Fault.NOT_SENT, f"request withheld from the instance: {obstacle}"
         )
     exchange = Exchange(
         sock,
         ctx.reply,
-        lambda kept, lifetime: state.connections.keep(instance.id, kept, lifetime),
+        lambda idle_sock, lifetime: state.connections.keep(
+            instance.id, idle_sock, lifetime
+        ),
         state.names.request_id,
         lambda head: observe_head(state, ctx, instance, head),
     )
     if ctx.sends == 0:
         ctx.first_sent = now
-        _note_begun(state, ctx, now)
+        _record_first_send(state, ctx, now)
     ctx.sends += 1
-    note_sending(state, ctx, instance.id, now)
+    record_view_at_send(state, ctx, instance.id, now)
     work = state.loads.start(instance.id, choice.tokens, now)
     if ctx.prompt is not None:
-        _note_reads(state, ctx, choice, now)
+        _record_prompt_parts(state, ctx, choice, now)
     try:
         failure = await _exchange(state, ctx, choice, exchange, work)
     finally:
         exchange.close()
         state.loads.finish(work, state.clock())
-    note_result(state, ctx, choice, failure, work)
-    if failure is not None and failure.fault in _TIME_UP and not exchange.is_heard:
-        # The connection may have fallen silent, and those kept beside it as well. Each
-        # would cost another request all of its time; a new one costs a round trip.
+    record_result(state, ctx, choice, failure, work)
+    if (
+        failure is not None
+        and failure.fault in _TIMEOUT_FAULTS
+        and not exchange.is_heard
+    ):
+        # The connection may have gone silent, and the idle ones to this instance as
+        # well. Each of them would cost another request its whole time limit, while a
+        # new connection costs a round trip.
         state.connections.drop(instance.id)
     if failure is None:
-        note_answered(state, ctx)
+        on_request_answered(state, ctx)
     elif failure.broke_off:
-        # Before the next send: it may be what ends them.
-        await note_broken_off(state, ctx, instance, work.sent)
+        # Before the next send, as this request may have crashed the upstream.
+        await on_connection_broken(state, ctx, instance, work.sent)
     return failure
 
 
 def _find_obstacle(state, ctx, instance, now):
-    """Return why the request may not be sent now, after all that it waited for."""
-    if is_held(state, ctx):
+    """Return why the request may not be sent now, or None.
+
+    Conditions may have changed while it waited for the view and the connection.
+    """
+    if is_quarantined(state, ctx):
         return "quarantined"
-    if is_behind(state, now):
+    if is_view_stale(state, now):
         return "view-old"
     return find_obstacle(state, ctx, instance, now)
 
 
-def _note_begun(state, ctx, now):
-    state.retries.note_request(ctx.service, now)
+def _record_first_send(state, ctx, now):
+    state.retries.record_request(ctx.service, now)
     if ctx.account is not None and ctx.prompt is not None:
         name, cost = ctx.account.name, ctx.prompt.cost
         state.shares.note_begun(name, cost, now)
         state.metrics.account_tokens.labels(name, "begun").inc(cost)
 
 
-def _note_reads(state, ctx, choice, now):
+def _record_prompt_parts(state, ctx, choice, now):
     shared = ctx.prompt.shared
     instance_id = choice.instance.id
-    known = state.loads.is_cached
+    is_cached = state.loads.is_cached
     state.reads.add(
-        instance_id, [part for part in shared if not known(part.id, instance_id, now)]
+        instance_id,
+        [part for part in shared if not is_cached(part.id, instance_id, now)],
     )
     state.loads.note_parts(shared, instance_id, now)
 
 
 async def _get_socket(state, ctx, instance):
     repeatable = ctx.route.repeatable
-    longest_idle = MAX_IDLE if repeatable else _FRESH_WITHIN
-    sock = state.connections.take(instance.id, longest_idle)
+    max_idle = MAX_IDLE if repeatable else _MAX_UNREPEATABLE_IDLE_S
+    sock = state.connections.take(instance.id, max_idle)
     if sock is not None:
         return sock
     try:
         return await connect(instance.address, ctx.reply)
     except OSError as exc:
         fault = Fault.GONE if ctx.reply.is_gone else Fault.NOT_SENT
-        return Failure(fault, f"no connection: {exc}")
+        return Failure(fault, f"connection failed: {exc}")
 
 
 async def _exchange(state, ctx, choice, exchange, work):
     failure = await exchange.send(_prepare_call(state, ctx, choice))
     if failure is not None:
         return failure
-    ctx.out_at = state.clock()
-    head = await exchange.read(_get_attempt_end(state, ctx))
+    ctx.last_byte_sent_at = state.clock()
+    head = await exchange.read(_get_attempt_deadline(state, ctx))
     if isinstance(head, Failure):
         return head
     if not isinstance(head, Head):
-        return Failure(Fault.AMBIGUOUS, "no head")
+        return Failure(Fault.AMBIGUOUS, "response without a head")
     if state.names.not_run.lower() in head.headers or head.status == MISDIRECTED:
-        return await _reject(exchange, head)
+        return await _read_rejection(exchange, head)
     signed = state.names.signature.lower() in head.headers
     if head.status < 300 and not signed:
-        return Failure(Fault.AMBIGUOUS, "unsigned success", head.status)
-    if head.status in _PROMISES and not signed:
-        return Failure(Fault.AMBIGUOUS, "unsigned promise", head.status)
+        return Failure(Fault.AMBIGUOUS, "unsigned success status", head.status)
+    if head.status in _SIGNED_STATUSES and not signed:
+        return Failure(Fault.AMBIGUOUS, "unsigned not-run status", head.status)
     if ctx.route.kind is RouteKind.STREAM and head.status == 200:
         return await streams.forward_stream(state, ctx, exchange, head, work)
     body = await exchange.read_body()
     if isinstance(body, Failure):
         return body
-    _note_answered(state, choice, work)
-    may_differ = _may_answer_differently(state, ctx, choice.instance)
-    if head.status >= _SERVER_ERROR and may_differ:
+    _observe_response(state, choice, work)
+    is_retry_useful = _is_retry_useful(state, ctx, choice.instance)
+    if head.status >= _MIN_SERVER_ERROR_STATUS and is_retry_useful:
         return Failure(Fault.AMBIGUOUS, "server error", head.status)
-    _send_answer(ctx, head, body)
+    _send_response(ctx, head, body)
     return None
 
 
-def _note_answered(state, choice, work):
+def _observe_response(state, choice, work):
     now = state.clock()
     state.loads.note_progress(work, now)
     if work.tokens == 0:
         state.loads.note_call(work, choice.instance.slots, now - work.sent)
 
 
-async def _reject(exchange, head):
-    # Reading the rest of a rejection keeps the connection for the next one.
+async def _read_rejection(exchange, head):
+    # The connection can only be reused once the whole response is read.
     body = await exchange.read_body()
     if isinstance(body, Failure):
         exchange.close()
-    return Failure(Fault.REJECTED, f"rejected with {head.status}", head.status)
+    return Failure(Fault.REJECTED, f"rejected with status {head.status}", head.status)
 
 
-def _may_answer_differently(state, ctx, instance):
-    """Return whether a failed safe request is worth another upstream."""
+def _is_retry_useful(state, ctx, instance):
+    """Return whether a failed safe request should be sent to another upstream."""
     if ctx.route.kind is not RouteKind.SAFE or ctx.sends >= ctx.route.max_attempts:
         return False
     if ctx.deadline - state.clock() < ctx.route.latency_target / 4:
@@ -169,8 +185,8 @@
     return has_alternative(state, ctx, state.clock(), besides=instance)
 
 
-def _get_attempt_end(state, ctx):
-    """Return when to try elsewhere, for requests that may be repeated."""
+def _get_attempt_deadline(state, ctx):
+    """Return when to try another upstream, or None if no other attempt is allowed."""
     if ctx.route.kind is not RouteKind.SAFE or ctx.sends >= ctx.route.max_attempts:
         return None
     now = state.clock()
@@ -180,9 +196,9 @@
 def _prepare_call(state, ctx, choice):
     names = state.names
     request = ctx.request
-    left = ctx.deadline + ANSWER_MARGIN - state.clock()
+    remaining = ctx.deadline + RESPONSE_MARGIN_S - state.clock()
     added = [
-        (names.deadline, str(max(1, int(left * 1000)))),
+        (names.deadline, str(max(1, int(remaining * 1000)))),
         (names.expected_instance, choice.instance.announced_id),
         (names.account, ctx.account.name if ctx.account else None),
         (names.fetch_from, choice.source.address if choice.source else None),
@@ -199,6 +215,6 @@
     )
 
 
-def _send_answer(ctx, head, body):
+def _send_response(ctx, head, body):
     ctx.answered = head.status
     ctx.reply.send(head.status, head.headers.items(), body)
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/recording.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
@@ -1,21 +1,20 @@
-"""What is counted and logged of requests, and learned of upstreams."""
+"""Metrics and log lines of requests, and health observations of their upstreams."""
 
 from ..admission.shares import describe_standing
 from ..quarantine.fingerprints import format_fingerprint
 from ..upstreams.exchanges import MISDIRECTED, Fault
 from ..view_source import describe_catalog, describe_upstream, describe_view
 
-# Answers that blame the client for what it asks; wrong where the configuration in
-# force is an old one.
-_DENIALS = frozenset((401, 403, 404))
-# Characters of a client's host and path on a line: anybody may send anything.
-_MAX_ASKED = 80
+# Statuses that deny a client's request; wrong if the configuration is outdated.
+_DENIAL_STATUSES = frozenset((401, 403, 404))
+# Limits the client's host and path in log lines, as clients may send anything.
+_MAX_ASKED_CHARS = 80
 
 
-def note_refusal(state, ctx, refusal):
-    """Count and log an answer of our own."""
+def record_refusal(state, ctx, refusal):
+    """Count and log a refusal by this gateway."""
     state.metrics.refused.labels(refusal.code).inc()
-    denied = refusal.status in _DENIALS
+    denied = refusal.status in _DENIAL_STATUSES
     state.log.note(
         "request refused",
         failed=True,
@@ -27,34 +26,34 @@
         account=ctx.account.name if ctx.account else None,
         version=ctx.catalog.version if ctx.catalog else None,
         sends=ctx.sends,
-        first_sent_ms=_get_first_sent(ctx),
+        first_sent_ms=_get_first_sent_ms(ctx),
         held_ms=to_milliseconds(state.clock() - ctx.arrived),
         retry_after=refusal.retry_after,
         **(refusal.inputs or {}),
-        **(_describe_asked(state, ctx) if denied else {}),
+        **(_describe_denial(state, ctx) if denied else {}),
     )
 
 
-def _describe_asked(state, ctx):
-    """Return the fields that tell what was denied, and by which configuration."""
+def _describe_denial(state, ctx):
+    """Return log fields of what was denied, and by which configuration."""
     request = ctx.request
     return {
-        "asked_host": request.headers.get("Host", "")[:_MAX_ASKED],
+        "asked_host": request.headers.get("Host", "")[:_MAX_ASKED_CHARS],
         "asked_path": _get_prefix(request.path),
         **describe_catalog(state, state.clock()),
     }
 
 
 def _get_prefix(path):
-    """Return what a path has before its last slash, which routes go by."""
-    return path[: path.rfind("/") + 1][:_MAX_ASKED]
+    """Return the path up to its last slash, the part that routes match."""
+    return path[: path.rfind("/") + 1][:_MAX_ASKED_CHARS]
 
 
-def note_result(state, ctx, choice, failure, work):
-    """Take in how a send ended: condition of the upstream, counters, a line."""
+def record_result(state, ctx, choice, failure, work):
+    """Record the end of a send: health of the upstream, metrics and a log line."""
     now = state.clock()
     if failure is not None:
-        note_failure(state, ctx, choice, failure)
+        record_failure(state, ctx, choice, failure)
         return
     kind = ctx.route.kind.value
     state.metrics.served.labels(kind, ctx.answered).inc()
@@ -80,30 +79,30 @@
         ahead=work.ahead,
         running=work.running,
         latency_target_ms=to_milliseconds(ctx.route.latency_target),
-        first_sent_ms=_get_first_sent(ctx),
+        first_sent_ms=_get_first_sent_ms(ctx),
         first_ms=to_milliseconds(work.first or 0.0),
-        out_ms=_get_out(ctx),
+        out_ms=_get_out_ms(ctx),
         sends=ctx.sends,
         took_ms=to_milliseconds(now - ctx.arrived),
         **(describe_standing(ctx.standing) if ctx.standing else {}),
-        **ctx.belief,
+        **ctx.view_at_send,
     )
 
 
-def note_failure(state, ctx, choice, failure):
-    """Take in a send that gave no whole answer."""
+def record_failure(state, ctx, choice, failure):
+    """Record a send without a complete response."""
     now = state.clock()
     instance_id = choice.instance.id
-    pause = None
+    ejection_s = None
     state.metrics.send_failures.labels(failure.fault.value).inc()
     if failure.status == MISDIRECTED:
         state.loads.note_replaced(instance_id, now)
         state.connections.drop(instance_id)
-    elif _tells_nothing(state, instance_id, failure, now):
+    elif _is_unrelated_to_health(state, instance_id, failure, now):
         state.loads.note_released(instance_id, now)
     else:
         severe = failure.fault is Fault.NOT_SENT
-        pause = state.loads.note_error(instance_id, now, severe)
+        ejection_s = state.loads.note_error(instance_id, now, severe)
         if failure.status == 0:
             state.domains.note_failure(choice.instance.zone, now)
     state.log.note(
@@ -119,47 +118,47 @@
         fingerprint=format_fingerprint(ctx.fingerprint),
         upstream=instance_id,
         sends=ctx.sends,
-        ejected_s=pause,
+        ejected_s=ejection_s,
         waited_ms=to_milliseconds(now - ctx.arrived),
-        out_ms=_get_out(ctx),
-        **ctx.belief,
+        out_ms=_get_out_ms(ctx),
+        **ctx.view_at_send,
     )
 
 
-def _tells_nothing(state, instance_id, failure, now):
-    """Return whether a failure says nothing about the condition of its upstream.
+def _is_unrelated_to_health(state, instance_id, failure, now):
+    """Return whether a failure does not count against the health of its upstream.
 
-    To shed load and ask for a pause is no fault, with or without a promise that the
-    request has not run.
+    Shedding load and asking for a pause is no fault, whether or not the response also
+    states that the request was not run.
     """
     if failure.fault in (Fault.GONE, Fault.LATE, Fault.REJECTED):
         return True
     return failure.status > 0 and state.backoffs.is_active(instance_id, now)
 
 
-def note_sending(state, ctx, instance_id, now):
-    """Remember what this gateway believes as it sends, for the line at the end."""
-    ctx.out_at = None
-    ctx.belief = {
+def record_view_at_send(state, ctx, instance_id, now):
+    """Store this gateway's view of the upstream as it sends, for the final log line."""
+    ctx.last_byte_sent_at = None
+    ctx.view_at_send = {
         **describe_view(state, now),
         **describe_upstream(state, instance_id, now),
     }
 
 
-def _get_out(ctx):
-    """Return the milliseconds until the last byte left, None where none did."""
-    if ctx.out_at is None:
+def _get_out_ms(ctx):
+    """Return the milliseconds until the last byte was sent, or None if it was not."""
+    if ctx.last_byte_sent_at is None:
         return None
-    return to_milliseconds(ctx.out_at - ctx.arrived)
+    return to_milliseconds(ctx.last_byte_sent_at - ctx.arrived)
 
 
-def _get_first_sent(ctx):
-    """Return the milliseconds until the first send, None where there was none."""
+def _get_first_sent_ms(ctx):
+    """Return the milliseconds until the first send, or None if there was none."""
     if ctx.first_sent is None:
         return None
     return to_milliseconds(ctx.first_sent - ctx.arrived)
 
 
 def to_milliseconds(seconds):
-    """Return milliseconds, rounded for the log."""
+    """Return seconds as milliseconds, rounded for the log."""
     return round(seconds * 1000.0, 1)
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retries.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retries.py
@@ -1,20 +1,20 @@
-"""This gateway's part of the fleet's budget of repeated sends."""
+"""This gateway's part of the fleet's retry budget."""
 
 import collections
 import threading
 
-_CAUTION = 0.7
+_SAFETY_FACTOR = 0.7
 
 
 class RetryBudget:
-    """Repeated sends by service within a sliding window.
+    """Budget of retries per service within a sliding window.
 
     Parameters
     ----------
     ratio : float
-        Repeats allowed for each request of the window, fleet-wide.
+        Retries allowed per request in the window, fleet-wide.
     slack : float
-        Repeats allowed besides, fleet-wide; dealt out among the gateways.
+        Further retries allowed, fleet-wide; divided among the gateways.
     window : float
         Length of the window in seconds.
     """
@@ -26,26 +26,26 @@
         self.gateways = 1
         self._lock = threading.Lock()
         self._requests = {}
-        self._repeats = {}
+        self._retries = {}
 
-    def note_request(self, service, now):
+    def record_request(self, service, now):
         """Count the first send of a request."""
         with self._lock:
             self._requests.setdefault(service, collections.deque()).append(now)
 
     def spend(self, service, now):
-        """Take one repeat; return False where the budget is used up."""
+        """Spend one retry; return False if the budget is used up."""
         with self._lock:
             requests = self._trim(self._requests, service, now)
-            repeats = self._trim(self._repeats, service, now)
+            retries = self._trim(self._retries, service, now)
             allowed = self.ratio * len(requests) + self.slack / self.gateways
-            if len(repeats) + 1 > _CAUTION * allowed:
+            if len(retries) + 1 > _SAFETY_FACTOR * allowed:
                 return False
-            repeats.append(now)
+            retries.append(now)
             return True
 
     def _trim(self, table, service, now):
-        rows = table.setdefault(service, collections.deque())
-        while rows and rows[0] < now - self.window:
-            rows.popleft()
-        return rows
+        times = table.setdefault(service, collections.deque())
+        while times and times[0] < now - self.window:
+            times.popleft()
+        return times
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/repeating.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retry_policy.py
@@ -1,64 +1,64 @@
-"""Whether a request may be sent again, and what its client is told if not."""
+"""Whether a request may be retried, and the refusal sent to the client if not."""
 
 from valeweir.models import Outcome
 
 from ..refusals import BUSY_RETRY, Refusal
 from ..upstreams.exchanges import MISDIRECTED, Fault
 
-UNRUN = frozenset((Fault.NOT_SENT, Fault.REJECTED))
+NOT_RUN_FAULTS = frozenset((Fault.NOT_SENT, Fault.REJECTED))
 
 
-def may_repeat(state, ctx, failure):
-    """Return whether the request may go out once more, and take its repeat."""
+def claim_retry(state, ctx, failure):
+    """Return whether the request may be sent again, and spend retry budget for it."""
     if failure.fault in (Fault.GONE, Fault.LATE):
         return False
     if ctx.reply.started and not _may_resume(ctx):
         return False
-    unrun = failure.fault is Fault.REJECTED
-    if not unrun and not ctx.route.repeatable:
+    not_run = failure.fault is Fault.REJECTED
+    if not not_run and not ctx.route.repeatable:
         return False
-    misdirected = unrun and failure.status == MISDIRECTED
+    misdirected = not_run and failure.status == MISDIRECTED
     if ctx.sends >= ctx.route.max_attempts and not misdirected:
         return False
     if ctx.sends > ctx.route.max_attempts:
         return False
-    if _ended_others(state, ctx):
+    if _has_crashed_several_upstreams(state, ctx):
         return False
     return state.retries.spend(ctx.service, state.clock())
 
 
-def _ended_others(state, ctx):
-    """Return whether upstreams ended under it more than once.
+def _has_crashed_several_upstreams(state, ctx):
+    """Return whether more than one upstream crashed while it ran this request.
 
-    To repeat it unasked could cost a third. The few that only ran there both times are
-    told the truth, and their clients may try again.
+    An automatic retry could crash a third. The few requests that merely ran beside both
+    crashes get an error, and their clients may retry them.
     """
     if not state.suspects:
         return False
-    return state.suspects.get_count(ctx.fingerprint).upstreams > 1
+    return state.suspects.get_crash_count(ctx.fingerprint).upstreams > 1
 
 
 def downgrade_if_ambiguous(ctx, refusal):
-    """Return the refusal, or one that promises nothing where it may have run."""
+    """Return the refusal, or one of unknown outcome if the request may have run."""
     if ctx.may_have_run:
         return Refusal(502, refusal.code, Outcome.UNKNOWN)
     return refusal
 
 
 def _may_resume(ctx):
-    """Return whether a stream that broke may go on inside the same answer."""
+    """Return whether a broken stream may continue within the same response."""
     return ctx.route.resumable and bool(ctx.last_event_id)
 
 
-def explain_late(ctx):
-    """Return the `Refusal` of a request whose time is up between sends."""
+def make_deadline_refusal(ctx):
+    """Return the `Refusal` of a request whose deadline passes between sends."""
     if not ctx.may_have_run:
         return Refusal(503, "deadline", retry_after=BUSY_RETRY)
     return Refusal(504, "deadline", Outcome.UNKNOWN)
 
 
-def explain(state, ctx, failure):
-    """Return the `Refusal` that tells what became of the request, or None."""
+def make_failure_refusal(state, ctx, failure):
+    """Return the `Refusal` after a failed send, with the outcome of the request."""
     if failure.fault is Fault.GONE or ctx.reply.started:
         return Refusal(499, "client-gone", Outcome.UNKNOWN)
     if failure.fault is Fault.LATE:
