--- a/packages/valeweir_gateway/src/valeweir_gateway/view/evacuations.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/evacuations.py
@@ -13,9 +13,9 @@
 
     def begin(self, domain):
         """Put an evacuation in force; return False if it was in force already."""
-        fresh = domain not in self.domains
+        is_new = domain not in self.domains
         self.domains |= {domain}
-        return fresh
+        return is_new
 
     def end(self, domain):
         """End an evacuation."""
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/expired_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/expired_records.py
@@ -9,10 +9,10 @@
 
 # Seconds in which live upstreams renew their records once the store is back; the
 # platform's figure.
-_RENEWED_WITHIN = 2.0
+_RENEWAL_S = 2.0
 # Seconds for the last send on its way, within the time allowed for a leaving
 # upstream.
-_SEND_MARGIN = 0.2
+_SEND_MARGIN_S = 0.2
 
 
 class Lapses:
@@ -25,39 +25,39 @@
     """
 
     def __init__(self, leave_within):
-        self._hold = min(_RENEWED_WITHIN, leave_within - _SEND_MARGIN)
-        self._regained = None
-        self._until = {}
+        self._retention_s = min(_RENEWAL_S, leave_within - _SEND_MARGIN_S)
+        self._recovered_at = None
+        self._retained_until = {}
 
     def __len__(self):
-        return len(self._until)
+        return len(self._retained_until)
 
-    def note_regained(self, at):
+    def mark_store_recovered(self, at):
         """Note when the store, having been away, answered again."""
-        if self._regained is None or at > self._regained:
-            self._regained = at
+        if self._recovered_at is None or at > self._recovered_at:
+            self._recovered_at = at
 
     def get_age(self, now):
         """Return seconds since the store came back, negative for never."""
-        return -1.0 if self._regained is None else now - self._regained
+        return -1.0 if self._recovered_at is None else now - self._recovered_at
 
-    def hold(self, instance, now):
+    def retain(self, instance, now):
         """Keep an upstream whose record is gone; return until when, or None."""
-        if not instance.ready or self._regained is None:
+        if not instance.ready or self._recovered_at is None:
             return None
-        until = self._regained + self._hold
+        until = self._recovered_at + self._retention_s
         if now >= until:
             return None
-        self._until[instance.id] = until
+        self._retained_until[instance.id] = until
         return until
 
-    def release(self, instance_id):
+    def stop_retaining(self, instance_id):
         """Note that the record is back; return whether the upstream was held."""
-        return self._until.pop(instance_id, None) is not None
+        return self._retained_until.pop(instance_id, None) is not None
 
-    def take_expired(self, now):
+    def pop_expired(self, now):
         """Return and forget the ids of upstreams whose records did not come back."""
-        expired = [name for name, until in self._until.items() if now >= until]
+        expired = [name for name, until in self._retained_until.items() if now >= until]
         for name in expired:
-            del self._until[name]
+            del self._retained_until[name]
         return expired
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/following.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/following.py
@@ -34,7 +34,7 @@
         is_wanted=duty.reads_store,
         on_heard=state.note_store_heard,
         poll=duty.get_poll,
-        on_regained=state.lapses.note_regained,
+        on_regained=state.lapses.mark_store_recovered,
         wait_wanted=duty.wait_reading,
         is_done=lambda: False,
         rank=lambda entry: None,
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
@@ -175,7 +175,7 @@
             # from their arrival, the return of the store moved on with each view that
             # gateways exchanged, and with it the time for which records that go are
             # believed to come back.
-            self._state.lapses.note_regained(asked - view.regained_age)
+            self._state.lapses.mark_store_recovered(asked - view.regained_age)
         adopt_view(self._catalog, view.catalog, source)
         adopt_view(self._instances, view.instances, source)
         adopt_view(self._quarantine, view.quarantine, source)
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -9,7 +9,7 @@
 from ..quarantine import crash_attribution
 from ..quarantine.fingerprints import parse_fingerprint
 from ..quarantine.records import decode_record
-from .directory import Noted, is_repeated
+from .directory import Noted, is_stale_record
 
 # Keys with bad records that are known, and the characters of a line's texts: anybody
 # may write there.
@@ -163,10 +163,10 @@
             else:
                 self._put(entry)
 
-    def end_lapses(self):
+    def remove_expired(self):
         """Drop instances whose records did not come back in time."""
         with self._lock:
-            for instance_id in self._state.lapses.take_expired(self._state.clock()):
+            for instance_id in self._state.lapses.pop_expired(self._state.clock()):
                 old = self._state.directory.remove(instance_id)
                 if old is not None:
                     self._drop(old, self._state.directory_offset, "upstream gone")
@@ -178,11 +178,11 @@
         known = self._find(entry.key)
         if known is None:
             return
-        until = state.lapses.hold(known, now)
+        until = state.lapses.retain(known, now)
         if until is None:
             self._take_away(known, entry.offset, "upstream gone")
             return
-        state.timers.subscribe("lapse", None, self.end_lapses, until - now)
+        state.timers.subscribe("lapse", None, self.remove_expired, until - now)
         state.log.note(
             "upstream lapsed",
             upstream=known.id,
@@ -201,7 +201,7 @@
             return
         self._note_sound(entry.key)
         earlier = self._find(entry.key)
-        if earlier is not None and is_repeated(instance, earlier):
+        if earlier is not None and is_stale_record(instance, earlier):
             state.log.note(
                 "older record ignored",
                 upstream=instance.id,
@@ -212,11 +212,11 @@
             return
         if earlier is not None and earlier.id != instance.id:
             # It holds and knows nothing of before.
-            state.lapses.release(earlier.id)
+            state.lapses.stop_retaining(earlier.id)
             self._take_away(earlier, entry.offset, "upstream restarted")
         self._lives[entry.key] = instance.id
         old = state.directory.by_id.get(instance.id)
-        held = state.lapses.release(instance.id)
+        held = state.lapses.stop_retaining(instance.id)
         if _is_unchanged(old, instance) and not held:
             return
         # Before any request can be sent there.
@@ -244,7 +244,7 @@
         """
         known = self._find(entry.key)
         if known is not None:
-            self._state.lapses.release(known.id)
+            self._state.lapses.stop_retaining(known.id)
             self._take_away(known, entry.offset, "upstream record spoilt")
 
     def apply_member(self, entry):
--- a/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
@@ -78,11 +78,11 @@
     """
     answered = state.loads.get(instance_id, now).answered
     answer_age = None if answered is None else round(now - answered, 3)
-    noted = state.directory.get_noted(instance_id)
-    if noted is None:
+    record = state.directory.get_noted(instance_id)
+    if record is None:
         return {"upstream_offset": None, "upstream_answered_s": answer_age}
     return {
         "upstream_answered_s": answer_age,
-        "upstream_offset": noted.offset,
-        "upstream_known_s": round(now - noted.at, 3),
+        "upstream_offset": record.offset,
+        "upstream_known_s": round(now - record.at, 3),
     }
