--- a/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
@@ -7,33 +7,33 @@
 
 from ..stores import HistoryExpired, Unanswered
 from ..view_source import STORE, Taken
-from .topics import TopicRecords, restore_highest
+from .topics import TopicRecords, restore_highest_ranked
 
-_FIRST_PAUSE = 0.1
-_MAX_PAUSE = 1.0
+_FIRST_RETRY_DELAY_S = 0.1
+_MAX_RETRY_DELAY_S = 1.0
 _IDLE_CHECK_S = 0.15
-_SERIES_PAUSE = 0.2
+_BATCHING_DELAY_S = 0.2
 # Records before the newest one of a ranked key in which a higher one may stand: many
 # more than are written while a lost answer is waited for.
-_HISTORY_RECORDS = 32
+_MAX_HISTORY_RECORDS = 32
 # Characters of a key on a line of the log.
-_MAX_KEY = 120
+_MAX_LOGGED_KEY_CHARS = 120
 # Seconds beyond a call's own wait after which the store counts as having been
 # away: a hundred times its usual answer of some milliseconds.
-_LATE_ANSWER = 0.5
+_LATE_ANSWER_S = 0.5
 # Seconds beyond a call's own wait after which its answer counts as overdue: what a slow
 # store takes.
-_OVERDUE = 0.3
+_OVERDUE_S = 0.3
 
 
-class Asked(NamedTuple):
+class StoreCall(NamedTuple):
     """A call under way.
 
-    ``at`` is when it began, ``wait`` how long the store may keep it, in seconds, and
+    ``started_at`` is when it began, ``wait`` how long the store may keep it, in seconds, and
     ``stalled`` for how long this process had been paused until then.
     """
 
-    at: float
+    started_at: float
     wait: float
     stalled: float
 
@@ -75,60 +75,60 @@
         store,
         topic,
         apply,
-        on_listed,
+        on_merged,
         log,
         poll,
         clock,
         is_wanted=lambda: True,
-        on_heard=lambda topic, as_of: None,
-        on_regained=lambda now: None,
-        on_taken=lambda topic, taken: None,
-        get_stalled=lambda: 0.0,
-        wait_wanted=lambda stopped: stopped.wait(_IDLE_CHECK_S),
+        on_complete=lambda topic, as_of: None,
+        on_recovered=lambda now: None,
+        on_update=lambda topic, taken: None,
+        get_stall_seconds=lambda: 0.0,
+        wait_until_wanted=lambda stopped: stopped.wait(_IDLE_CHECK_S),
         is_done=lambda: False,
         rank=lambda entry: None,
     ):
         self._store = store
         self._topic = topic
         self._rank = rank
-        self._records = TopicRecords(apply, self._note_unapplied, rank)
-        self._on_listed = on_listed
+        self._records = TopicRecords(apply, self._log_unapplied, rank)
+        self._on_merged = on_merged
         self._log = log
         self._poll = poll
         self._clock = clock
         self._is_wanted = is_wanted
-        self._next = None
+        self._next_offset = None
         self._lock = threading.RLock()
-        self._pause = _FIRST_PAUSE
+        self._retry_delay = _FIRST_RETRY_DELAY_S
         self._available = None
         # The call that the follower's own thread makes now, or made last.
-        self._asked = None
-        self._is_calling = False
-        self._was_away = False
+        self._call = None
+        self._is_call_active = False
+        self._was_unavailable = False
         # Calls in a row that their own limit ended.
-        self._unanswered = 0
-        self.heard = None
-        self._whole_at = None
-        self._on_heard = on_heard
-        self._on_regained = on_regained
-        self._on_taken = on_taken
-        self._get_stalled = get_stalled
-        self._wait_wanted = wait_wanted
+        self._timeout_count = 0
+        self._answered_at = None
+        self._complete_at = None
+        self._on_complete = on_complete
+        self._on_recovered = on_recovered
+        self._on_update = on_update
+        self._get_stall_seconds = get_stall_seconds
+        self._wait_until_wanted = wait_until_wanted
         self._is_done = is_done
 
     def run(self, stopped):
         """Follow until ``stopped`` is set or it is done; the body of a thread."""
         while not stopped.is_set() and not self._is_done():
             if not self._is_wanted():
-                self._wait_wanted(stopped)
+                self._wait_until_wanted(stopped)
                 continue
             before = self.end
             if not self.follow_once():
-                stopped.wait(self._pause)
-                self._pause = min(self._pause * 2, _MAX_PAUSE)
+                stopped.wait(self._retry_delay)
+                self._retry_delay = min(self._retry_delay * 2, _MAX_RETRY_DELAY_S)
             elif self.end != before:
                 # Changes come in series; one call then brings several.
-                stopped.wait(_SERIES_PAUSE)
+                stopped.wait(_BATCHING_DELAY_S)
 
     def start(self, stopped):
         """Follow in a thread of its own."""
@@ -139,18 +139,20 @@
     def follow_once(self):
         """Make one call; return whether it succeeded."""
         try:
-            if self._next is None:
+            if self._next_offset is None:
                 self._list()
             else:
                 self._read()
         except HistoryExpired:
-            self._log.note("history expired", topic=self._topic, offset=self._next)
-            self._next = None
+            self._log.note(
+                "history expired", topic=self._topic, offset=self._next_offset
+            )
+            self._next_offset = None
         except Unanswered as exc:
-            self._note_unanswered(str(exc))
+            self._record_timeout(str(exc))
             return False
         except PlatformUnavailable as exc:
-            self._note_away(self._asked, str(exc))
+            self._mark_unavailable(self._call, str(exc))
             return False
         except Exception as exc:
             # A record that nobody foresaw must not end the following of others.
@@ -159,9 +161,9 @@
             )
             return False
         finally:
-            self._is_calling = False
-        self._pause = _FIRST_PAUSE
-        self._unanswered = 0
+            self._is_call_active = False
+        self._retry_delay = _FIRST_RETRY_DELAY_S
+        self._timeout_count = 0
         self._set_available(True, "")
         return True
 
@@ -171,36 +173,39 @@
         May be called while the follower's own call waits: that one cannot tell a quiet
         store from a connection that nothing passes any more.
         """
-        asked = self._make_asked(0.0)
+        call = self._create_call(0.0)
         try:
-            self._read_anew(asked)
+            self._read_on_new_connection(call)
         except PlatformUnavailable as exc:
-            self._note_away(asked, str(exc))
+            self._mark_unavailable(call, str(exc))
             return False
         self._set_available(True, "")
         return True
 
-    def note_outage(self):
+    def mark_outage(self):
         """Note that the store is away, as another topic's new call has shown."""
-        self._was_away = True
+        self._was_unavailable = True
 
     def is_waiting(self, now, seconds):
         """Return whether the follower's own call has lasted for longer than that."""
-        return self._is_calling and now - self._asked.at > seconds
+        return self._is_call_active and now - self._call.started_at > seconds
 
     def is_overdue(self, now):
         """Return whether the answer to the follower's own call should have come."""
-        return self._is_calling and now - self._asked.at > self._asked.wait + _OVERDUE
+        return (
+            self._is_call_active
+            and now - self._call.started_at > self._call.wait + _OVERDUE_S
+        )
 
     @property
     def unapplied(self):
         """Return how many records could not be applied yet."""
         return len(self._records.get_unapplied())
 
-    def apply_again(self):
+    def retry_unapplied(self):
         """Try once more what could not be applied."""
         with self._lock:
-            self._records.apply_again(self._records.get_unapplied())
+            self._records.retry_unapplied(self._records.get_unapplied())
 
     @property
     def is_away(self):
@@ -214,7 +219,7 @@
 
     def get_age(self, now):
         """Return how long ago the topic was whole by the store's answers, or None."""
-        return None if self._whole_at is None else max(0.0, now - self._whole_at)
+        return None if self._complete_at is None else max(0.0, now - self._complete_at)
 
     @property
     def end(self):
@@ -231,52 +236,52 @@
         with self._lock:
             return self._records.get_batch(offset)
 
-    def adopt(self, listing, source="peer"):
+    def merge_listing(self, listing, source="peer"):
         """Take in a peer's listing; older records than ours change nothing."""
-        self._take(self._records.take_listing, listing, source, True)
+        self._merge(self._records.merge_listing, listing, source, True)
 
-    def adopt_batch(self, batch, source="peer"):
+    def merge_batch(self, batch, source="peer"):
         """Take in what a peer says has changed since our end."""
-        self._take(self._records.take_batch, batch, source, False)
+        self._merge(self._records.merge_batch, batch, source, False)
 
     def _list(self):
-        asked = self._begin_call(0.0)
+        call = self._begin_call(0.0)
         listing = self._get_listing()
-        self._note_answer(asked)
-        self._take(self._records.take_listing, listing, STORE, True)
-        self._next = listing.end
-        self._note_heard(asked.at)
+        self._record_answer(call)
+        self._merge(self._records.merge_listing, listing, STORE, True)
+        self._next_offset = listing.end
+        self._mark_complete(call.started_at)
 
     def _read(self):
         # What a peer has told meanwhile need not be read again.
-        start = self._next = max(self._next, self.end)
-        asked = self._begin_call(self._poll())
+        start = self._next_offset = max(self._next_offset, self.end)
+        call = self._begin_call(self._poll())
         try:
-            batch = self._store.read(self._topic, start, asked.wait)
+            batch = self._store.read(self._topic, start, call.wait)
         except HistoryExpired:
-            self._note_answer(asked)
+            self._record_answer(call)
             raise
-        self._note_answer(asked)
-        self._take(self._records.take_batch, batch, STORE, False)
-        self._next = batch.end
+        self._record_answer(call)
+        self._merge(self._records.merge_batch, batch, STORE, False)
+        self._next_offset = batch.end
         # The store answers without a record only once it has waited for one.
-        waited = 0.0 if batch.entries else asked.wait
+        waited = 0.0 if batch.entries else call.wait
         if batch.is_whole:
-            self._note_heard(min(asked.at + waited, self._clock()))
+            self._mark_complete(min(call.started_at + waited, self._clock()))
 
-    def _read_anew(self, asked):
+    def _read_on_new_connection(self, call):
         try:
-            batch = self._store.read(self._topic, self.end, asked.wait, anew=True)
+            batch = self._store.read(self._topic, self.end, call.wait, anew=True)
         except HistoryExpired:
             listing = self._get_listing(anew=True)
-            self._note_answer(asked)
-            self._take(self._records.take_listing, listing, STORE, True)
+            self._record_answer(call)
+            self._merge(self._records.merge_listing, listing, STORE, True)
         else:
-            self._note_answer(asked)
-            self._take(self._records.take_batch, batch, STORE, False)
+            self._record_answer(call)
+            self._merge(self._records.merge_batch, batch, STORE, False)
             if not batch.is_whole:
                 return
-        self._note_heard(asked.at)
+        self._mark_complete(call.started_at)
 
     def _get_listing(self, anew=False):
         """List the topic, with ranked keys as high as its history knows them."""
@@ -285,12 +290,12 @@
         history = []
         for entry in ranked:
             history += self._read_history(entry.offset, anew)
-        return restore_highest(listing, history, self._rank)
+        return restore_highest_ranked(listing, history, self._rank)
 
     def _read_history(self, end, anew):
         """Return the last records before an offset, as far as they are kept."""
-        rows = []
-        start = max(0, end - _HISTORY_RECORDS)
+        entries = []
+        start = max(0, end - _MAX_HISTORY_RECORDS)
         while start < end:
             try:
                 batch = self._store.read(self._topic, start, 0.0, anew)
@@ -299,38 +304,38 @@
                     break
                 start = exc.first
                 continue
-            rows += batch.entries
+            entries += batch.entries
             if batch.end <= start:
                 break
             start = batch.end
-        return rows
+        return entries
 
     def _begin_call(self, wait):
-        self._asked = self._make_asked(wait)
-        self._is_calling = True
-        return self._asked
+        self._call = self._create_call(wait)
+        self._is_call_active = True
+        return self._call
 
-    def _make_asked(self, wait):
-        return Asked(self._clock(), wait, self._get_stalled())
+    def _create_call(self, wait):
+        return StoreCall(self._clock(), wait, self._get_stall_seconds())
 
-    def _note_heard(self, as_of):
-        self.heard = self._clock()
+    def _mark_complete(self, as_of):
+        self._answered_at = self._clock()
         if self.unapplied:
             return
-        self._whole_at = as_of
-        self._on_heard(self._topic, as_of)
+        self._complete_at = as_of
+        self._on_complete(self._topic, as_of)
 
-    def _note_unapplied(self, entry, exc):
+    def _log_unapplied(self, entry, exc):
         self._log.note(
             "record not applied",
             failed=True,
             topic=self._topic,
-            key=entry.key[:_MAX_KEY],
+            key=entry.key[:_MAX_LOGGED_KEY_CHARS],
             offset=entry.offset,
             why=repr(exc),
         )
 
-    def _note_unanswered(self, why):
+    def _record_timeout(self, why):
         """Tell of a call that its own limit ended.
 
         It may only have lost its connection, and the next call has a new one: an outage
@@ -343,26 +348,26 @@
             "store call unanswered",
             failed=True,
             topic=self._topic,
-            waited_s=round(now - self._asked.at, 3),
-            allowed_s=round(self._asked.wait, 3),
+            waited_s=round(now - self._call.started_at, 3),
+            allowed_s=round(self._call.wait, 3),
             topic_age_s=None if age is None else round(age, 3),
         )
-        self._unanswered += 1
-        if self._unanswered > 1:
-            self._note_away(self._asked, why)
+        self._timeout_count += 1
+        if self._timeout_count > 1:
+            self._mark_unavailable(self._call, why)
 
-    def _note_away(self, asked, why):
+    def _mark_unavailable(self, call, why):
         """Note that the store is away, unless this process had no time to hear it."""
-        if self._get_stalled() - asked.stalled <= _LATE_ANSWER:
-            self._was_away = True
+        if self._get_stall_seconds() - call.stalled <= _LATE_ANSWER_S:
+            self._was_unavailable = True
         self._set_available(False, why)
 
-    def _note_answer(self, asked):
+    def _record_answer(self, call):
         """Tell where this answer ends a time in which the store was away."""
         now = self._clock()
-        stalled = self._get_stalled() - asked.stalled
-        late = now - asked.at - asked.wait
-        if late > _LATE_ANSWER:
+        stalled = self._get_stall_seconds() - call.stalled
+        late = now - call.started_at - call.wait
+        if late > _LATE_ANSWER_S:
             self._log.note(
                 "store answered late",
                 topic=self._topic,
@@ -371,27 +376,31 @@
             )
         # An answer that lay here unread is no outage: an upstream whose record went
         # meanwhile has left, and would get work for two seconds more.
-        if self._was_away or late - stalled > _LATE_ANSWER:
-            self._on_regained(now)
-        self._was_away = False
+        if self._was_unavailable or late - stalled > _LATE_ANSWER_S:
+            self._on_recovered(now)
+        self._was_unavailable = False
 
-    def _take(self, take, told, source, is_listing):
-        """Take in what was told, by the `TopicRecords` method ``take``."""
+    def _merge(self, merge, update, source, is_listing):
+        """Take in what was told, by the `TopicRecords` method ``merge``."""
         with self._lock:
             begin = self.end
             unapplied = self._records.get_unapplied()
-            take(told)
-            self._records.apply_again(unapplied)
+            merge(update)
+            self._records.retry_unapplied(unapplied)
             taken = Taken(begin, self.end, source, is_listing, self._clock())
-            self._on_taken(self._topic, taken)
-            self._on_listed(self.end)
+            self._on_update(self._topic, taken)
+            self._on_merged(self.end)
 
     def _set_available(self, available, why):
         if available == self._available:
             return
         self._available = available
         event = "store regained" if available else "store lost"
-        age = None if self.heard is None else round(self._clock() - self.heard, 3)
+        age = (
+            None
+            if self._answered_at is None
+            else round(self._clock() - self._answered_at, 3)
+        )
         self._log.note(
             event, failed=not available, topic=self._topic, why=why, view_age_s=age
         )
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/following.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/following.py
@@ -30,12 +30,12 @@
     def follow(
         topic,
         apply,
-        on_listed=ignore,
+        on_merged=ignore,
         is_wanted=duty.reads_store,
-        on_heard=state.note_store_heard,
+        on_complete=state.note_store_heard,
         poll=duty.get_poll,
-        on_regained=state.lapses.mark_store_recovered,
-        wait_wanted=duty.wait_reading,
+        on_recovered=state.lapses.mark_store_recovered,
+        wait_until_wanted=duty.wait_reading,
         is_done=lambda: False,
         rank=lambda entry: None,
     ):
@@ -43,16 +43,16 @@
             adapter.store,
             topic,
             apply,
-            on_listed,
+            on_merged,
             state.log,
             poll,
             state.clock,
             is_wanted,
-            on_heard,
-            on_regained,
+            on_complete,
+            on_recovered,
             state.note_taken,
             state.stalls.get_total,
-            wait_wanted,
+            wait_until_wanted,
             is_done,
             rank,
         )
@@ -75,9 +75,9 @@
             keeper.note_quarantine,
             # How old the view of upstreams is, and whether the store was away, the
             # other two tell.
-            on_heard=ignore,
+            on_complete=ignore,
             poll=lambda: state.cfg.store.quarantine_poll,
-            on_regained=ignore,
+            on_recovered=ignore,
         ),
         follow(
             adapter.member_topic,
@@ -86,7 +86,7 @@
             duty.reads_members,
             ignore,
             poll=lambda: 0.0,
-            wait_wanted=lambda stopped: stopped.wait(_MEMBERS_CHECK_S),
+            wait_until_wanted=lambda stopped: stopped.wait(_MEMBERS_CHECK_S),
             is_done=duty.has_read_members,
         ),
     )
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
@@ -49,7 +49,7 @@
         if not all(follower.refresh() for follower in waiting):
             # The rest would wait as long in vain; what ends an outage counts for all.
             for follower in waiting:
-                follower.note_outage()
+                follower.mark_outage()
 
     def _is_due(self, now):
         age = self._state.freshness.get_age(now)
@@ -62,4 +62,4 @@
         self._next_apply = now + _APPLY_PAUSE
         for follower in self._followers:
             if follower.unapplied:
-                follower.apply_again()
+                follower.retry_unapplied()
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
@@ -33,7 +33,7 @@
 
 
 # No change of a topic.
-NOTHING = TopicView([], 0, False)
+NO_CHANGE = TopicView([], 0, False)
 
 
 class View(msgspec.Struct, array_like=True, frozen=True):
@@ -49,7 +49,7 @@
     instances: TopicView
     regained_age: float = -1.0
     age: float = -1.0
-    quarantine: TopicView = NOTHING
+    quarantine: TopicView = NO_CHANGE
 
 
 _decoder = msgspec.msgpack.Decoder(View)
@@ -64,7 +64,7 @@
     return TopicView([tuple(entry) for entry in batch.entries], batch.end, False)
 
 
-def encode_view(catalog, instances, regained_age=-1.0, age=-1.0, quarantine=NOTHING):
+def encode_view(catalog, instances, regained_age=-1.0, age=-1.0, quarantine=NO_CHANGE):
     """Return the bytes of a view made of `TopicView`."""
     view = View(catalog, instances, regained_age, age, quarantine)
     return msgspec.msgpack.encode(view)
@@ -78,13 +78,13 @@
         return None
 
 
-def adopt_view(follower, view, source="peer"):
+def merge_topic_view(follower, view, source="peer"):
     """Let a follower take in a `TopicView` that a peer, ``source``, has given."""
     entries = [Entry(*row) for row in view.entries]
     if view.is_whole:
-        follower.adopt(Listing(entries, view.end), source)
+        follower.merge_listing(Listing(entries, view.end), source)
     else:
-        follower.adopt_batch(Batch(entries, view.end), source)
+        follower.merge_batch(Batch(entries, view.end), source)
 
 
 class ViewSync:
@@ -117,7 +117,7 @@
             target=self._run, args=(stopped,), name="sync", daemon=True
         ).start()
 
-    def find_newer(self, now):
+    def find_newer_peer(self, now):
         """Return the live peer with the newest view if it is newer, or None."""
         own = (get_version(self._state), *self._get_own_offsets())
         best = None
@@ -157,7 +157,7 @@
         view = decode_view(resp.data) if resp.status == 200 else None
         if view is None:
             return False
-        self.adopt(view, peer.host, asked)
+        self.merge_view(view, peer.host, asked)
         return True
 
     def _get_catalog_start(self, report):
@@ -168,7 +168,7 @@
         is_passed_by = report.catalog_version > get_version(self._state)
         return 0 if is_passed_by else self._catalog.end
 
-    def adopt(self, view, source, asked):
+    def merge_view(self, view, source, asked):
         """Take in the `View` of the peer ``source`` that was asked for at a time."""
         if view.regained_age >= 0.0:
             # Ages count from when the peer was asked, as it spoke after that. Counted
@@ -176,9 +176,9 @@
             # gateways exchanged, and with it the time for which records that go are
             # believed to come back.
             self._state.lapses.mark_store_recovered(asked - view.regained_age)
-        adopt_view(self._catalog, view.catalog, source)
-        adopt_view(self._instances, view.instances, source)
-        adopt_view(self._quarantine, view.quarantine, source)
+        merge_topic_view(self._catalog, view.catalog, source)
+        merge_topic_view(self._instances, view.instances, source)
+        merge_topic_view(self._quarantine, view.quarantine, source)
         if view.age >= 0.0:
             self._state.freshness.note_peer(asked - view.age)
 
@@ -206,7 +206,7 @@
 
         None where nothing was tried.
         """
-        peer = self.find_newer(now)
+        peer = self.find_newer_peer(now)
         if peer is None:
             self._behind_since = None
             return None
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/topics.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/topics.py
@@ -3,7 +3,7 @@
 import collections
 from typing import NamedTuple
 
-_MAX_REMOVED = 2_000
+_MAX_REMOVED_COUNT = 2_000
 
 
 class Entry(NamedTuple):
@@ -36,7 +36,7 @@
     is_whole: bool = True
 
 
-def restore_highest(listing, history, rank):
+def restore_highest_ranked(listing, history, rank):
     """Return a `Listing` in which no ranked key has fallen behind its own history.
 
     A write whose answer was lost may take effect late, behind newer ones, and is then
@@ -83,28 +83,28 @@
     """
 
     def __init__(
-        self, apply, on_fault=lambda entry, exc: None, rank=lambda entry: None
+        self, apply, on_error=lambda entry, exc: None, rank=lambda entry: None
     ):
         self._apply = apply
         self._rank = rank
-        self._on_fault = on_fault
+        self._on_error = on_error
         self._entries = {}
         # What could not be applied yet, by key.
         self._unapplied = {}
         self._removed = collections.deque()
         # Changes from here on are all known, removals among them.
-        self._changes_from = 0
+        self._first_known_offset = 0
         self.end = 0
 
     def get_unapplied(self):
         """Return the records that could not be applied yet."""
         return list(self._unapplied.values())
 
-    def apply_again(self, entries):
+    def retry_unapplied(self, entries):
         """Try once more those that could not be applied and are still the newest."""
         for entry in entries:
             if self._unapplied.get(entry.key) is entry:
-                self._try_to_apply(entry)
+                self._apply_or_keep(entry)
 
     def get_listing(self):
         """Return what is known as a `Listing`."""
@@ -113,43 +113,43 @@
 
     def get_batch(self, offset):
         """Return a `Batch` of what changed from ``offset`` on, None if not known."""
-        if offset < self._changes_from:
+        if offset < self._first_known_offset:
             return None
         rows = [e for e in self._entries.values() if e.offset >= offset]
         return Batch(sorted(rows, key=lambda row: row.offset), self.end)
 
-    def take_listing(self, listing):
+    def merge_listing(self, listing):
         """Take in a listing; one that is older than what is known changes nothing."""
         if listing.end < self.end:
             for entry in listing.entries:
-                self._take_if_higher(entry)
+                self._merge_if_higher(entry)
             return
-        named = {entry.key for entry in listing.entries}
+        listed = {entry.key for entry in listing.entries}
         for entry in listing.entries:
-            self._take(entry)
+            self._merge(entry)
         kept = {e.key for e in self._entries.values() if e.value is not None}
-        for key in kept - named:
+        for key in kept - listed:
             # The key was removed while nothing was heard.
-            self._take(Entry(key, None, listing.end - 1))
+            self._merge(Entry(key, None, listing.end - 1))
         if listing.end > self.end:
             # A listing does not show keys that came and went since our end. A peer that
             # knows such a key would keep it forever if it got changes without the
             # removal, so peers that are further behind get a listing too.
-            self._changes_from = listing.end
+            self._first_known_offset = listing.end
         self.end = listing.end
 
-    def take_batch(self, batch):
+    def merge_batch(self, batch):
         """Take in records that begin at our end or before it."""
         for entry in batch.entries:
             # Known before, and gone since, where it is below our end.
             if entry.offset >= self.end or entry.key in self._entries:
-                self._take(entry)
+                self._merge(entry)
         self.end = max(self.end, batch.end)
 
-    def _take(self, entry):
+    def _merge(self, entry):
         known = self._entries.get(entry.key)
         if known is not None and _outranks(self._rank, known, entry):
-            self._take_outranked(entry, known)
+            self._merge_outranked(entry, known)
             return
         if known is not None and _outranks(self._rank, entry, known):
             entry = entry._replace(offset=max(entry.offset, known.offset))
@@ -157,15 +157,15 @@
             return
         self._entries[entry.key] = entry
         if entry.value is None:
-            self._note_removed(entry)
-        self._try_to_apply(entry)
+            self._record_removal(entry)
+        self._apply_or_keep(entry)
 
-    def _take_if_higher(self, entry):
+    def _merge_if_higher(self, entry):
         known = self._entries.get(entry.key)
         if known is not None and _outranks(self._rank, entry, known):
-            self._take(entry)
+            self._merge(entry)
 
-    def _take_outranked(self, entry, known):
+    def _merge_outranked(self, entry, known):
         """Keep the record in force, as of the newer offset.
 
         Peers that know less are then given it with all that came before that offset.
@@ -178,9 +178,9 @@
             self._unapplied[entry.key] = moved
         else:
             # Applying it changes nothing and logs why.
-            self._try_to_apply(entry)
+            self._apply_or_keep(entry)
 
-    def _try_to_apply(self, entry):
+    def _apply_or_keep(self, entry):
         """Apply a record, or keep it for later.
 
         It is known from now on and nobody tells it again, so one whose applying raises
@@ -192,15 +192,15 @@
             known = self._unapplied.get(entry.key)
             self._unapplied[entry.key] = entry
             if known is not entry:
-                self._on_fault(entry, exc)
+                self._on_error(entry, exc)
         else:
             self._unapplied.pop(entry.key, None)
 
-    def _note_removed(self, entry):
+    def _record_removal(self, entry):
         """Keep the newest removals, so that peers can be told of them."""
         self._removed.append(entry)
-        while len(self._removed) > _MAX_REMOVED:
+        while len(self._removed) > _MAX_REMOVED_COUNT:
             oldest = self._removed.popleft()
             if self._entries.get(oldest.key) is oldest:
                 del self._entries[oldest.key]
-            self._changes_from = max(self._changes_from, oldest.offset + 1)
+            self._first_known_offset = max(self._first_known_offset, oldest.offset + 1)
