--- a/packages/valeweir_gateway/src/valeweir_gateway/view/following.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/following.py
@@ -35,7 +35,7 @@
         on_complete=state.note_store_heard,
         poll=duty.get_poll,
         on_recovered=state.lapses.mark_store_recovered,
-        wait_until_wanted=duty.wait_reading,
+        wait_until_wanted=duty.wait_until_reading,
         is_done=lambda: False,
         rank=lambda entry: None,
     ):
@@ -57,22 +57,26 @@
             rank,
         )
 
-    def note_members(offset):
-        keeper.note_members(offset)
-        duty.note_members_read()
+    def mark_members_known(offset):
+        keeper.mark_members_known(offset)
+        duty.mark_members_read()
 
     return Followers(
         follow(
             adapter.catalog_topic,
             keeper.apply_catalog,
-            keeper.note_catalog,
+            keeper.record_catalog_offset,
             rank=keeper.rank_catalog,
         ),
-        follow(adapter.instance_topic, keeper.apply_instance, keeper.note_directory),
+        follow(
+            adapter.instance_topic,
+            keeper.apply_instance,
+            keeper.record_directory_offset,
+        ),
         follow(
             adapter.quarantine_topic,
             keeper.apply_quarantine,
-            keeper.note_quarantine,
+            keeper.record_quarantine_offset,
             # How old the view of upstreams is, and whether the store was away, the
             # other two tell.
             on_complete=ignore,
@@ -82,8 +86,8 @@
         follow(
             adapter.member_topic,
             keeper.apply_member,
-            note_members,
-            duty.reads_members,
+            mark_members_known,
+            duty.should_read_members,
             ignore,
             poll=lambda: 0.0,
             wait_until_wanted=lambda stopped: stopped.wait(_MEMBERS_CHECK_S),
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/publishing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/publishing.py
@@ -4,8 +4,8 @@
 
 from valeweir.exceptions import PlatformUnavailable
 
-_FIRST_PAUSE = 0.3
-_MAX_PAUSE = 5.0
+_FIRST_RETRY_DELAY_S = 0.3
+_MAX_RETRY_DELAY_S = 5.0
 # How long to wait for the list of members, which may hold this gateway's record.
 _LISTING_TIMEOUT_S = 1.0
 _LISTING_CHECK_S = 0.02
@@ -32,7 +32,7 @@
 
     def run(self, stopped):
         """Publish, with pauses that double, until done or ``stopped``."""
-        pause = _FIRST_PAUSE
+        delay = _FIRST_RETRY_DELAY_S
         record = self.make_record()
         self._wait_for_listing(stopped)
         while not stopped.is_set() and self._state.member_record != record:
@@ -41,8 +41,8 @@
                 return
             except PlatformUnavailable as exc:
                 self._state.log.note("address not published", failed=True, why=str(exc))
-            stopped.wait(pause)
-            pause = min(pause * 2, _MAX_PAUSE)
+            stopped.wait(delay)
+            delay = min(delay * 2, _MAX_RETRY_DELAY_S)
 
     def make_record(self):
         """Return the bytes that tell others where this gateway listens."""
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
@@ -12,9 +12,9 @@
 
 # All in seconds.
 # A call younger than this may still be answered at once.
-_MIN_WAIT = 0.2
-_PAUSE = 1.0
-_APPLY_PAUSE = 0.3
+_MIN_CALL_AGE_S = 0.2
+_REFRESH_INTERVAL_S = 1.0
+_APPLY_INTERVAL_S = 0.3
 
 
 class Refresher:
@@ -34,18 +34,24 @@
             followers.instances,
             followers.quarantine,
         )
-        self._next = 0.0
+        self._next_refresh = 0.0
         self._next_apply = 0.0
 
     def check(self, now):
         """Do what is due; calls of the store are made before it returns."""
-        self._apply_again(now)
-        if now < self._next or not self._is_due(now) or not self._duty.reads_store():
+        self._retry_unapplied(now)
+        if (
+            now < self._next_refresh
+            or not self._is_due(now)
+            or not self._duty.reads_store()
+        ):
             return
-        waiting = [row for row in self._followers if row.is_waiting(now, _MIN_WAIT)]
+        waiting = [
+            row for row in self._followers if row.is_waiting(now, _MIN_CALL_AGE_S)
+        ]
         if not waiting:
             return
-        self._next = now + _PAUSE
+        self._next_refresh = now + _REFRESH_INTERVAL_S
         if not all(follower.refresh() for follower in waiting):
             # The rest would wait as long in vain; what ends an outage counts for all.
             for follower in waiting:
@@ -56,10 +62,10 @@
         is_old = age is not None and age > get_longest_age(self._state.cfg)
         return is_old or any(row.is_overdue(now) for row in self._followers)
 
-    def _apply_again(self, now):
+    def _retry_unapplied(self, now):
         if now < self._next_apply:
             return
-        self._next_apply = now + _APPLY_PAUSE
+        self._next_apply = now + _APPLY_INTERVAL_S
         for follower in self._followers:
             if follower.unapplied:
                 follower.retry_unapplied()
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/store_readers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/store_readers.py
@@ -11,22 +11,22 @@
 # All in seconds.
 # Of the time in which a leaving upstream must get no more: what it takes to notice an
 # old view (0.15), to call the store, to take in its answer, and to send.
-_READ_TIME = 0.6
+_READ_S = 0.6
 # What a view ages on its way from the gateway that reads: at two steps each, the
 # heartbeat that brings the stamp (0.3), and the ticks of crowded relays.
-_RELAYED_TIME = 1.0
+_RELAY_DELAY_S = 1.0
 # The same in a mesh, where everybody hears the one that asks often.
-_TOLD_TIME = 0.4
-_FLEET_POLL = 1.0
-_MIN_POLL = 0.2
+_MESH_DELAY_S = 0.4
+_MAX_READER_POLL_S = 1.0
+_MIN_POLL_S = 0.2
 # At the start others may soon be heard that have read the store already.
-_MEMBERS_WAIT = 1.0
-_VIEW_WAIT = 2.0
+_MAX_MEMBERS_WAIT_S = 1.0
+_MAX_VIEW_WAIT_S = 2.0
 # Gateways that start together have written where they listen by the second time.
-_MEMBERS_READ_AGAIN = 2.5
-_MEMBERS_FOLLOWED = 5.0
-_OWN_READING = 5.0
-_WAIT = 0.5
+_SECOND_MEMBERS_READ_S = 2.5
+_MAX_MEMBERS_READ_S = 5.0
+_TEMPORARY_READ_S = 5.0
+_CHECK_INTERVAL_S = 0.5
 
 
 def get_longest_age(cfg):
@@ -36,7 +36,7 @@
     change of the configuration be in force too late.
     """
     allowed = min(cfg.upstreams.leave_within_ms, cfg.store.change_within_ms)
-    return allowed / 1000.0 - _READ_TIME
+    return allowed / 1000.0 - _READ_S
 
 
 class StoreDuty:
@@ -46,14 +46,14 @@
         self._state = state
         self._get_plan = get_plan
         self._reads = None
-        self._started = state.clock()
-        self._own_until = 0.0
-        self._members_due = 0.0
+        self._started_at = state.clock()
+        self._temporary_until = 0.0
+        self._members_due_s = 0.0
         self._changed = threading.Condition()
 
     def reads_store(self):
         """Return whether this gateway reads the store now."""
-        reads = self._decide(self._state.clock())
+        reads = self._should_read(self._state.clock())
         if reads != self._reads:
             with self._changed:
                 self._reads = self._state.reads_store = reads
@@ -64,42 +64,44 @@
                 "store duty",
                 reads=reads,
                 view_age_s=None if age is None else round(age, 3),
-                asked_to=now < self._own_until,
+                asked_to=now < self._temporary_until,
             )
         return reads
 
-    def wait_reading(self, stopped):
+    def wait_until_reading(self, stopped):
         """Return once this gateway reads the store, or after half a second."""
         with self._changed:
-            self._changed.wait_for(lambda: self._reads or stopped.is_set(), _WAIT)
+            self._changed.wait_for(
+                lambda: self._reads or stopped.is_set(), _CHECK_INTERVAL_S
+            )
 
-    def note_behind(self, now):
+    def read_store_temporarily(self, now):
         """Read the store for a while: peers know more and do not tell it."""
-        self._own_until = now + _OWN_READING
+        self._temporary_until = now + _TEMPORARY_READ_S
 
-    def reads_members(self):
+    def should_read_members(self):
         """Return whether to read now who else there is.
 
         Once at the start and once a little later: still later gateways find the
         earlier ones and report to them.
         """
-        uptime = self._state.clock() - self._started
-        return self._members_due <= uptime < _MEMBERS_FOLLOWED
+        uptime = self._state.clock() - self._started_at
+        return self._members_due_s <= uptime < _MAX_MEMBERS_READ_S
 
     def has_read_members(self):
         """Return whether the list of members need not be read any more."""
-        uptime = self._state.clock() - self._started
-        return uptime >= _MEMBERS_FOLLOWED or self._members_due == math.inf
+        uptime = self._state.clock() - self._started_at
+        return uptime >= _MAX_MEMBERS_READ_S or self._members_due_s == math.inf
 
-    def note_members_read(self):
+    def mark_members_read(self):
         """Record that the list of members was read.
 
         Who finds itself there was restarted, and so are the others that it knows then.
         """
-        is_first = self._state.clock() - self._started < _MEMBERS_READ_AGAIN
+        is_first = self._state.clock() - self._started_at < _SECOND_MEMBERS_READ_S
         is_listed = self._state.member_record is not None
-        read_again = is_first and not is_listed
-        self._members_due = _MEMBERS_READ_AGAIN if read_again else math.inf
+        is_second_due = is_first and not is_listed
+        self._members_due_s = _SECOND_MEMBERS_READ_S if is_second_due else math.inf
 
     def get_poll(self):
         """Return how long a call waits for a record, in seconds.
@@ -111,40 +113,48 @@
         state = self._state
         poll = state.cfg.store.poll
         is_mesh = state.members.is_mesh
-        if is_mesh and not self._is_first_of_all(state.clock()):
+        if is_mesh and not self._is_first_in_fleet(state.clock()):
             return poll
-        told = _TOLD_TIME if is_mesh else _RELAYED_TIME
-        return min(poll, _FLEET_POLL, max(_MIN_POLL, get_longest_age(state.cfg) - told))
-
-    def _decide(self, now):
+        delay = _MESH_DELAY_S if is_mesh else _RELAY_DELAY_S
+        return min(
+            poll,
+            _MAX_READER_POLL_S,
+            max(_MIN_POLL_S, get_longest_age(state.cfg) - delay),
+        )
+
+    def _should_read(self, now):
         state = self._state
         plan = self._get_plan()
-        uptime = now - self._started
-        if plan is None or not state.members_known and uptime < _MEMBERS_WAIT:
+        uptime = now - self._started_at
+        if plan is None or not state.members_known and uptime < _MAX_MEMBERS_WAIT_S:
             return False
         if state.members.is_mesh:
             return True
-        if plan.is_relay and self._is_first(now) or now < self._own_until:
+        if (
+            plan.is_relay
+            and self._is_first_in_domain(now)
+            or now < self._temporary_until
+        ):
             return True
         age = state.freshness.get_age(now)
         if age is None:
-            return uptime > _VIEW_WAIT
+            return uptime > _MAX_VIEW_WAIT_S
         return age > get_longest_age(state.cfg)
 
-    def _is_first(self, now):
+    def _is_first_in_domain(self, now):
         """Return whether no gateway before this one in its domain answers."""
         return self._state.members.find_senior(now) is None
 
-    def _is_first_of_all(self, now):
+    def _is_first_in_fleet(self, now):
         """Return whether no gateway before this one in the fleet answers."""
         members = self._state.members
         domains = sorted(members.get_domains())
-        before = domains[: domains.index(members.own.domain)]
-        if any(self._has_unsuspected(domain, now) for domain in before):
+        earlier_domains = domains[: domains.index(members.own.domain)]
+        if any(self._has_unsuspected_member(domain, now) for domain in earlier_domains):
             return False
-        return self._is_first(now)
+        return self._is_first_in_domain(now)
 
-    def _has_unsuspected(self, domain, now):
+    def _has_unsuspected_member(self, domain, now):
         members = self._state.members
         rows = members.get_ranked(domain)
         return any(not members.is_suspect(row.host, now) for row in rows)
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
@@ -16,12 +16,12 @@
 
 VIEW_PATH = "/fleet/view"
 # At most; a report of a newer view is looked at as it comes.
-_CHECK = 0.15
-_PATIENCE = 0.25
-_TIMEOUT = 0.5
-_MAX_BEHIND = 0.6
+_CHECK_INTERVAL_S = 0.15
+_STORE_ANSWER_WAIT_S = 0.25
+_TIMEOUT_S = 0.5
+_MAX_BEHIND_S = 0.6
 # Below the offset of a topic that is empty.
-_NEVER_READ = -1
+_NEVER_READ_OFFSET = -1
 
 
 class TopicView(msgspec.Struct, array_like=True, frozen=True):
@@ -119,13 +119,13 @@
 
     def find_newer_peer(self, now):
         """Return the live peer with the newest view if it is newer, or None."""
-        own = (get_version(self._state), *self._get_own_offsets())
+        own_versions = (get_version(self._state), *self._get_own_offsets())
         best = None
         for peer in self._state.members.get_live(now):
-            theirs = (peer.report.catalog_version, *peer.report.view_offsets)
-            newer = any(map(operator.gt, theirs, own))
-            if newer and (best is None or theirs > best[0]):
-                best = (theirs, peer)
+            peer_versions = (peer.report.catalog_version, *peer.report.view_offsets)
+            is_newer = any(map(operator.gt, peer_versions, own_versions))
+            if is_newer and (best is None or peer_versions > best[0]):
+                best = (peer_versions, peer)
         return best[1] if best else None
 
     def _get_own_offsets(self):
@@ -134,66 +134,68 @@
         if state.catalog_known and state.directory_known and not state.quarantine_known:
             # Who stopped reading before it had listed an empty topic would wait for
             # ever for a peer that looks newer, and never be ready.
-            quarantine = _NEVER_READ
+            quarantine = _NEVER_READ_OFFSET
         return (state.catalog_offset, state.directory_offset, quarantine)
 
     def fetch(self, peer):
         """Take the peer's view in; return whether it could be had."""
         host = peer.address.rpartition(":")[0]
         url = f"http://{host}:{self._port}{VIEW_PATH}"
-        since = {
-            "catalog": self._get_catalog_start(peer.report),
+        start_offsets = {
+            "catalog": self._get_catalog_start_offset(peer.report),
             "instances": self._instances.end,
             "quarantine": self._quarantine.end,
         }
-        asked = self._state.clock()
+        requested_at = self._state.clock()
         # Always a new connection: a kept one may have fallen silent meanwhile, and to
         # find that out takes longer than to open another.
         self._pool.clear()
         try:
-            resp = self._pool.request("GET", url, fields=since, timeout=_TIMEOUT)
+            resp = self._pool.request(
+                "GET", url, fields=start_offsets, timeout=_TIMEOUT_S
+            )
         except urllib3.exceptions.HTTPError:
             return False
         view = decode_view(resp.data) if resp.status == 200 else None
         if view is None:
             return False
-        self.merge_view(view, peer.host, asked)
+        self.merge_view(view, peer.host, requested_at)
         return True
 
-    def _get_catalog_start(self, report):
+    def _get_catalog_start_offset(self, report):
         """Return from which offset on to ask for configurations, 0 for all.
 
         A newer one that stands before our own end is in no batch of what came since.
         """
-        is_passed_by = report.catalog_version > get_version(self._state)
-        return 0 if is_passed_by else self._catalog.end
+        may_precede_end = report.catalog_version > get_version(self._state)
+        return 0 if may_precede_end else self._catalog.end
 
-    def merge_view(self, view, source, asked):
+    def merge_view(self, view, source, requested_at):
         """Take in the `View` of the peer ``source`` that was asked for at a time."""
         if view.regained_age >= 0.0:
             # Ages count from when the peer was asked, as it spoke after that. Counted
             # from their arrival, the return of the store moved on with each view that
             # gateways exchanged, and with it the time for which records that go are
             # believed to come back.
-            self._state.lapses.mark_store_recovered(asked - view.regained_age)
+            self._state.lapses.mark_store_recovered(requested_at - view.regained_age)
         merge_topic_view(self._catalog, view.catalog, source)
         merge_topic_view(self._instances, view.instances, source)
         merge_topic_view(self._quarantine, view.quarantine, source)
         if view.age >= 0.0:
-            self._state.freshness.note_peer(asked - view.age)
+            self._state.freshness.note_peer(requested_at - view.age)
 
     def _run(self, stopped):
         while not stopped.is_set():
-            self._state.newer_view.wait(_CHECK)
+            self._state.newer_view.wait(_CHECK_INTERVAL_S)
             self._state.newer_view.clear()
-            taken = self._guard(self.catch_up)
+            merged = self._run_guarded(self.catch_up)
             # After what peers know, which costs no call of the store.
-            self._guard(self._refresher.check)
+            self._run_guarded(self._refresher.check)
             self._duty.reads_store()
-            if taken is False:
-                stopped.wait(_PATIENCE)
+            if merged is False:
+                stopped.wait(_STORE_ANSWER_WAIT_S)
 
-    def _guard(self, action):
+    def _run_guarded(self, action):
         """Do something now; what goes wrong must not end this thread."""
         try:
             return action(self._state.clock())
@@ -213,26 +215,26 @@
         if self._behind_since is None:
             self._behind_since = now
         behind = now - self._behind_since
-        if behind > _MAX_BEHIND:
-            self._duty.note_behind(now)
+        if behind > _MAX_BEHIND_S:
+            self._duty.read_store_temporarily(now)
         # The store's own answer is usually a moment away.
-        patience = _PATIENCE if self._duty.reads_store() else 0.0
-        if behind < patience:
+        delay = _STORE_ANSWER_WAIT_S if self._duty.reads_store() else 0.0
+        if behind < delay:
             return None
-        before = self._get_ends()
-        taken = self.fetch(peer)
+        offsets_before = self._get_end_offsets()
+        merged = self.fetch(peer)
         self._state.log.note(
             "view from peer",
-            failed=not taken,
+            failed=not merged,
             peer=peer.host,
-            taken=taken,
+            taken=merged,
             behind_s=round(behind, 3),
-            offsets_before=before,
-            offsets=self._get_ends(),
+            offsets_before=offsets_before,
+            offsets=self._get_end_offsets(),
             peer_offsets=peer.report.view_offsets,
             report_age_s=round(now - peer.heard, 3),
         )
-        return taken
+        return merged
 
-    def _get_ends(self):
+    def _get_end_offsets(self):
         return (self._catalog.end, self._instances.end, self._quarantine.end)
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -13,11 +13,11 @@
 
 # Keys with bad records that are known, and the characters of a line's texts: anybody
 # may write there.
-_MAX_BAD = 1_000
-_MAX_TEXT = 120
-_MAX_VERSIONS = 256
+_MAX_BAD_KEY_COUNT = 1_000
+_MAX_TEXT_CHARS = 120
+_MAX_VERSION_COUNT = 256
 # The rank of a configuration that cannot be decoded.
-_UNREADABLE = -1
+_UNDECODABLE_RANK = -1
 
 
 class ViewKeeper:
@@ -27,13 +27,13 @@
         self._state = state
         self._adapter = adapter
         # Bytes and `catalog.Catalog` of the configuration decoded last.
-        self._decoded = (None, None)
+        self._last_decoded = (None, None)
         # Versions by the digest of a configuration's bytes.
         self._versions = {}
         # Keys whose newest record cannot be used.
-        self._bad = set()
+        self._bad_keys = set()
         # The id of the life that a key of the instances topic stands for.
-        self._lives = {}
+        self._ids_by_key = {}
         # Records come from the store's reader and from peers; timers end lapses.
         self._lock = threading.Lock()
 
@@ -47,9 +47,9 @@
         try:
             catalog = self._decode_catalog(entry.value)
         except BadRecord as exc:
-            self._note_bad("configuration", entry.offset, exc)
+            self._count_bad_record("configuration", entry.offset, exc)
             return
-        self._note_sound("configuration")
+        self._mark_valid("configuration")
         in_force = self._state.catalog
         if not self._state.put_catalog(catalog):
             self._state.log.note(
@@ -75,12 +75,12 @@
         if entry.key != self._adapter.catalog_key:
             return None
         if entry.value is None:
-            return _UNREADABLE
+            return _UNDECODABLE_RANK
         # Known records are compared with each new one; decoding takes milliseconds.
         digest = xxhash.xxh64_intdigest(entry.value)
         if digest not in self._versions:
             self._versions[digest] = self._read_version(entry.value)
-            while len(self._versions) > _MAX_VERSIONS:
+            while len(self._versions) > _MAX_VERSION_COUNT:
                 del self._versions[next(iter(self._versions))]
         return self._versions[digest]
 
@@ -88,17 +88,17 @@
         try:
             return self._decode_catalog(value).version
         except BadRecord:
-            return _UNREADABLE
+            return _UNDECODABLE_RANK
 
     def _decode_catalog(self, value):
         """Decode a configuration; the last one, asked for several times, is kept."""
-        known, catalog = self._decoded
+        known, catalog = self._last_decoded
         if known != value:
             catalog = self._adapter.decode_catalog(value)
-            self._decoded = (value, catalog)
+            self._last_decoded = (value, catalog)
         return catalog
 
-    def note_catalog(self, offset):
+    def record_catalog_offset(self, offset):
         """Note that the configuration topic is known up to ``offset``."""
         self._state.catalog_offset = offset
         self._state.catalog_known = True
@@ -127,14 +127,16 @@
         with self._lock:
             for row in state.directory.get_all_ready():
                 if row.zone == domain:
-                    self._note_warming(row, self._get_warm_time(row), "evacuation", now)
+                    self._start_warm_up(
+                        row, self._get_warm_time(row), "evacuation", now
+                    )
 
     def _get_warm_time(self, instance):
         catalog = self._state.catalog
         service = catalog.services.get(instance.service) if catalog else None
         return service.warm_time if service else 0.0
 
-    def _note_warming(self, instance, seconds, source, now):
+    def _start_warm_up(self, instance, seconds, source, now):
         state = self._state
         if seconds <= 0.0:
             return
@@ -169,18 +171,20 @@
             for instance_id in self._state.lapses.pop_expired(self._state.clock()):
                 old = self._state.directory.remove(instance_id)
                 if old is not None:
-                    self._drop(old, self._state.directory_offset, "upstream gone")
+                    self._discard_state(
+                        old, self._state.directory_offset, "upstream gone"
+                    )
 
     def _remove(self, entry):
         state = self._state
         now = state.clock()
-        self._note_sound(entry.key)
-        known = self._find(entry.key)
+        self._mark_valid(entry.key)
+        known = self._find_instance(entry.key)
         if known is None:
             return
         until = state.lapses.retain(known, now)
         if until is None:
-            self._take_away(known, entry.offset, "upstream gone")
+            self._remove_instance(known, entry.offset, "upstream gone")
             return
         state.timers.subscribe("lapse", None, self.remove_expired, until - now)
         state.log.note(
@@ -196,11 +200,11 @@
         try:
             instance = self._adapter.decode_instance(entry.key, entry.value)
         except BadRecord as exc:
-            self._note_bad(entry.key, entry.offset, exc)
-            self._set_aside(entry)
+            self._count_bad_record(entry.key, entry.offset, exc)
+            self._remove_invalid(entry)
             return
-        self._note_sound(entry.key)
-        earlier = self._find(entry.key)
+        self._mark_valid(entry.key)
+        earlier = self._find_instance(entry.key)
         if earlier is not None and is_stale_record(instance, earlier):
             state.log.note(
                 "older record ignored",
@@ -213,20 +217,20 @@
         if earlier is not None and earlier.id != instance.id:
             # It holds and knows nothing of before.
             state.lapses.stop_retaining(earlier.id)
-            self._take_away(earlier, entry.offset, "upstream restarted")
-        self._lives[entry.key] = instance.id
+            self._remove_instance(earlier, entry.offset, "upstream restarted")
+        self._ids_by_key[entry.key] = instance.id
         old = state.directory.by_id.get(instance.id)
-        held = state.lapses.stop_retaining(instance.id)
-        if _is_unchanged(old, instance) and not held:
+        was_retained = state.lapses.stop_retaining(instance.id)
+        if _is_unchanged(old, instance) and not was_retained:
             return
         # Before any request can be sent there.
         now = state.clock()
         if instance.warming > 0.0:
-            self._note_warming(instance, instance.warming, "record", now)
+            self._start_warm_up(instance, instance.warming, "record", now)
         elif state.slow_start.forget(instance.id):
             state.log.note("upstream warm", upstream=instance.id, offset=entry.offset)
         state.directory.put(instance, Noted(entry.offset, now))
-        if held or old is None or old.ready != instance.ready:
+        if was_retained or old is None or old.ready != instance.ready:
             state.log.note(
                 "upstream ready" if instance.ready else "upstream leaving",
                 upstream=instance.id,
@@ -234,18 +238,18 @@
                 service=instance.service,
                 address=instance.address,
                 offset=entry.offset,
-                lapsed=held,
+                lapsed=was_retained,
             )
 
-    def _set_aside(self, entry):
+    def _remove_invalid(self, entry):
         """Send nothing more to an instance whose record another writer has spoilt.
 
         What runs there ends; a sound record brings it back.
         """
-        known = self._find(entry.key)
+        known = self._find_instance(entry.key)
         if known is not None:
             self._state.lapses.stop_retaining(known.id)
-            self._take_away(known, entry.offset, "upstream record spoilt")
+            self._remove_instance(known, entry.offset, "upstream record spoilt")
 
     def apply_member(self, entry):
         """Take in a record of the members topic: where a gateway listens."""
@@ -256,9 +260,9 @@
         try:
             member = parse_member(entry.key, entry.value)
         except ValueError as exc:
-            self._note_bad(entry.key, entry.offset, exc)
+            self._count_bad_record(entry.key, entry.offset, exc)
             return
-        self._note_sound(entry.key)
+        self._mark_valid(entry.key)
         self._state.members.add(member)
 
     def apply_quarantine(self, entry):
@@ -267,63 +271,63 @@
             fingerprint = parse_fingerprint(entry.key)
             record = None if entry.value is None else decode_record(entry.value)
         except ValueError as exc:
-            self._note_bad(entry.key, entry.offset, exc)
+            self._count_bad_record(entry.key, entry.offset, exc)
             return
         crash_attribution.take_record(
             self._state, fingerprint, record, self._state.clock()
         )
 
-    def note_quarantine(self, offset):
+    def record_quarantine_offset(self, offset):
         """Note that every quarantine written before ``offset`` is known."""
         self._state.quarantine_known = True
         self._state.quarantine_offset = offset
 
-    def note_directory(self, offset):
+    def record_directory_offset(self, offset):
         """Note that every instance known before ``offset`` has been taken in."""
         self._state.directory_known = True
         self._state.directory_offset = offset
 
-    def note_members(self, offset):
+    def mark_members_known(self, offset):
         """Note that every gateway in the store's list is known."""
         self._state.members_known = True
 
-    def _find(self, key):
+    def _find_instance(self, key):
         """Return the instance that a key of the instances topic stands for, or None."""
-        instance_id = self._lives.get(key)
+        instance_id = self._ids_by_key.get(key)
         return self._state.directory.by_id.get(instance_id)
 
-    def _take_away(self, instance, offset, event):
+    def _remove_instance(self, instance, offset, event):
         self._state.directory.remove(instance.id)
-        self._drop(instance, offset, event)
+        self._discard_state(instance, offset, event)
 
-    def _drop(self, instance, offset, event):
+    def _discard_state(self, instance, offset, event):
         state = self._state
-        self._lives.pop(instance.announced_id, None)
+        self._ids_by_key.pop(instance.announced_id, None)
         state.connections.drop(instance.id)
         state.loads.forget(instance.id)
         state.slow_start.forget(instance.id)
         state.backoffs.forget(instance.id)
         state.log.note(event, upstream=instance.id, offset=offset)
 
-    def _note_bad(self, what, offset, exc):
+    def _count_bad_record(self, key, offset, exc):
         """Count a record that cannot be used, with one line until it is sound again."""
         self._state.bad_records += 1
-        if what in self._bad or len(self._bad) >= _MAX_BAD:
+        if key in self._bad_keys or len(self._bad_keys) >= _MAX_BAD_KEY_COUNT:
             return
-        self._bad.add(what)
-        self._state.bad_keys = len(self._bad)
+        self._bad_keys.add(key)
+        self._state.bad_keys = len(self._bad_keys)
         self._state.log.note(
             "bad record",
             failed=True,
-            key=what[:_MAX_TEXT],
+            key=key[:_MAX_TEXT_CHARS],
             offset=offset,
-            why=str(exc)[:_MAX_TEXT],
+            why=str(exc)[:_MAX_TEXT_CHARS],
         )
 
-    def _note_sound(self, what):
-        if what in self._bad:
-            self._bad.discard(what)
-            self._state.bad_keys = len(self._bad)
+    def _mark_valid(self, key):
+        if key in self._bad_keys:
+            self._bad_keys.discard(key)
+            self._state.bad_keys = len(self._bad_keys)
 
 
 def _is_unchanged(old, instance):
--- a/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
@@ -45,11 +45,11 @@
         "view_age_s": None if age is None else round(age, 3),
         "reads_store": state.reads_store,
     }
-    taken = state.taken.get(state.instance_topic)
-    if taken is not None:
-        fields["view_from"] = taken.source
-        fields["view_listed"] = taken.is_listing
-        fields["view_taken_s"] = round(now - taken.at, 3)
+    update = state.taken.get(state.instance_topic)
+    if update is not None:
+        fields["view_from"] = update.source
+        fields["view_listed"] = update.is_listing
+        fields["view_taken_s"] = round(now - update.at, 3)
     return fields
 
 
@@ -57,7 +57,7 @@
     """Return the fields that tell by which configuration, how old, was decided."""
     age = state.freshness.get_age(now)
     since = state.catalog_since
-    taken = state.taken.get(state.catalog_topic)
+    update = state.taken.get(state.catalog_topic)
     peers = state.members.get_live(now)
     return {
         "peers_version": max(
@@ -66,7 +66,7 @@
         "catalog_offset": state.catalog_offset,
         "in_force_s": None if since is None else round(now - since, 3),
         "view_age_s": None if age is None else round(age, 3),
-        "view_from": None if taken is None else taken.source,
+        "view_from": None if update is None else update.source,
         "reads_store": state.reads_store,
     }
 
