--- a/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
@@ -35,9 +35,9 @@
         return self.announced_as or self.id
 
 
-def make_life_id(announced_id, born):
-    """Return the id of the life that began at ``born``, None where that is not said."""
-    return announced_id if born is None else f"{announced_id}@{born}"
+def make_life_id(announced_id, started_at):
+    """Return the id of the life that began at ``started_at``, None where that is not said."""
+    return announced_id if started_at is None else f"{announced_id}@{started_at}"
 
 
 def is_stale_record(instance, known):
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
@@ -221,7 +221,7 @@
         delay = _STORE_ANSWER_WAIT_S if self._duty.reads_store() else 0.0
         if behind < delay:
             return None
-        offsets_before = self._get_end_offsets()
+        previous_ends = self._get_end_offsets()
         merged = self.fetch(peer)
         self._state.log.note(
             "view from peer",
@@ -229,7 +229,7 @@
             peer=peer.host,
             taken=merged,
             behind_s=round(behind, 3),
-            offsets_before=offsets_before,
+            offsets_before=previous_ends,
             offsets=self._get_end_offsets(),
             peer_offsets=peer.report.view_offsets,
             report_age_s=round(now - peer.heard, 3),
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -309,24 +309,24 @@
         state.backoffs.forget(instance.id)
         state.log.note(event, upstream=instance.id, offset=offset)
 
-    def _count_bad_record(self, key, offset, exc):
+    def _count_bad_record(self, record_key, offset, exc):
         """Count a record that cannot be used, with one line until it is sound again."""
         self._state.bad_records += 1
-        if key in self._bad_keys or len(self._bad_keys) >= _MAX_BAD_KEY_COUNT:
+        if record_key in self._bad_keys or len(self._bad_keys) >= _MAX_BAD_KEY_COUNT:
             return
-        self._bad_keys.add(key)
+        self._bad_keys.add(record_key)
         self._state.bad_keys = len(self._bad_keys)
         self._state.log.note(
             "bad record",
             failed=True,
-            key=key[:_MAX_TEXT_CHARS],
+            key=record_key[:_MAX_TEXT_CHARS],
             offset=offset,
             why=str(exc)[:_MAX_TEXT_CHARS],
         )
 
-    def _mark_valid(self, key):
-        if key in self._bad_keys:
-            self._bad_keys.discard(key)
+    def _mark_valid(self, record_key):
+        if record_key in self._bad_keys:
+            self._bad_keys.discard(record_key)
             self._state.bad_keys = len(self._bad_keys)
 
 
