--- a/packages/valeweir_gateway/src/valeweir_gateway/stores.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/stores.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of the platform's store."""
+"""The interface of the platform's store that the gateway uses."""
 
 from typing import Protocol
 
@@ -6,9 +6,9 @@
 
 
 class HistoryExpired(PlatformUnavailable):
-    """Records after the offset asked for are gone; list anew.
+    """The requested records have been deleted, so the topic must be listed again.
 
-    ``first`` is the first offset that is kept, None where that is not said.
+    ``first`` is the first available offset, None if the store did not return it.
     """
 
     def __init__(self, text, first=None):
@@ -17,28 +17,31 @@
 
 
 class Unanswered(PlatformUnavailable):
-    """A call ended by its own limit, with nothing heard on its connection."""
+    """A call timed out without receiving any data on its connection."""
 
 
 class Conflict(Exception):
-    """The topic does not end where a conditional append says; nothing was done."""
+    """A conditional append expected another end of the topic; nothing was written."""
 
 
 class Store(Protocol):
-    """Calls of the store; each raises `PlatformUnavailable` where it fails."""
+    """Operations of the store; each raises `PlatformUnavailable` on failure."""
 
     def list_newest(self, topic, anew=False):
-        """Return a `Listing` of the topic, ``anew`` on a connection of its own."""
+        """Return a `Listing` of the topic; ``anew`` opens a new connection."""
 
     def read(self, topic, offset, wait, anew=False):
-        """Return a `Batch`, waiting up to ``wait`` seconds for a record."""
+        """Return a `Batch`, waiting up to ``wait`` seconds for a record.
+
+        ``anew`` opens a new connection.
+        """
 
     def move(self, address):
-        """Make later calls at another address, where the same store is."""
+        """Use another address of the same store for later calls."""
 
     def put(self, topic, key, value, at=None):
-        """Append a record; may have taken effect when it raises.
+        """Append a record; it may have been written even if the call raises.
 
-        A ``value`` of None drops the key. With ``at`` it raises `Conflict` unless the
-        topic ends there.
+        A ``value`` of None removes the key. With ``at``, raise `Conflict` unless the
+        topic ends at this offset.
         """
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/__init__.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/__init__.py
@@ -1,5 +1,5 @@
-"""What the platform's store says: topics followed, views from peers, the catalog of
-routes and the directory of upstreams.
+"""The gateway's view of the platform's store.
 
-Imports ``quarantine`` and ``fleet``.
+It follows topics of the store, merges views from peers and keeps the catalog of routes
+and the directory of upstream instances. Imports ``quarantine`` and ``fleet``.
 """
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/catalog.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/catalog.py
@@ -6,7 +6,7 @@
 
 
 class RouteKind(StrEnum):
-    """What a route promises about repeating its requests."""
+    """Whether the requests of a route may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -14,16 +14,16 @@
 
 
 class Target(NamedTuple):
-    """A service that a route sends to, and its weight among the targets."""
+    """A service that a route sends requests to, and its weight among the targets."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """A route of an operator. Times are in seconds; priority 0 is highest.
+    """A route configured by an operator. Times are in seconds; priority 0 is highest.
 
-    Its requests run in ``regions`` only, anywhere where there are none.
+    Requests run only in ``regions``, or in any region if ``regions`` is empty.
     """
 
     name: str
@@ -42,16 +42,15 @@
 
     @property
     def repeatable(self):
-        """Return whether a request may run more than once from its start."""
+        """Return whether a request may be run again from its start."""
         return self.kind is RouteKind.SAFE or self.resumable
 
 
 class Engine(NamedTuple):
-    """What a service of model engines declares; memory in tokens.
+    """Properties of the model engines of a service; ``memory`` is in tokens.
 
-    ``token_bytes`` is the size of a cached token and ``link_rate`` the bytes a
-    second at which one engine can take cached tokens from another, 0 where it
-    cannot.
+    ``token_bytes`` is the size of a cached token. ``link_rate`` is the rate, in bytes
+    per second, at which one engine can copy cached tokens from another, 0 if it cannot.
     """
 
     slots: int
@@ -61,10 +60,10 @@
 
 
 class Service(NamedTuple):
-    """A service: a set of like upstreams.
+    """A service: a set of equivalent upstreams.
 
-    Each of them warms up for ``warm_time`` seconds after it has come into use and
-    bears ``warm_rate`` requests a second meanwhile, 0 for no such limit.
+    Each upstream warms up for ``warm_time`` seconds after it enters service. During
+    that time it accepts ``warm_rate`` requests per second, 0 for no limit.
     """
 
     name: str
@@ -75,9 +74,9 @@
 
 
 class Account(NamedTuple):
-    """A client account; a priority of None leaves the route's in force.
+    """A client account; with a priority of None the priority of the route applies.
 
-    Its requests run in ``regions`` only, anywhere where there are none.
+    Requests run only in ``regions``, or in any region if ``regions`` is empty.
     """
 
     name: str
@@ -87,7 +86,7 @@
 
 
 class Limits(NamedTuple):
-    """Bounds on what clients send, in bytes and seconds, and on tokens."""
+    """Limits on client input in bytes, seconds and tokens per second."""
 
     header_bytes: int = 32 << 10
     body_bytes: int = 8 << 20
@@ -99,8 +98,8 @@
 class _HostRoutes:
     """The routes of one host by prefix.
 
-    Looked up by each length that a prefix has, the longest first: thousands of routes
-    have few lengths.
+    A lookup tries each existing prefix length, the longest first. This is fast because
+    even thousands of routes have few distinct prefix lengths.
     """
 
     def __init__(self):
@@ -108,7 +107,7 @@
         self._lengths = []
 
     def add(self, route):
-        """Add a route; the first one of a prefix counts."""
+        """Add a route, unless there is already one with this prefix."""
         self._by_prefix.setdefault(route.prefix, route)
         if len(route.prefix) not in self._lengths:
             self._lengths.append(len(route.prefix))
@@ -124,7 +123,7 @@
 
 
 class Catalog:
-    """One version of the configuration, indexed for look-ups; never changed."""
+    """One immutable version of the configuration, indexed for lookups."""
 
     def __init__(self, version, routes, services, accounts, limits):
         self.version = version
@@ -139,7 +138,7 @@
 
     @property
     def needs_key(self):
-        """Return whether requests on routes that are not public need a key."""
+        """Return whether requests to non-public routes require a key."""
         return bool(self.accounts)
 
     def find_route(self, host, path):
@@ -149,5 +148,5 @@
         return routes.find(path) if routes else None
 
     def find_account(self, key):
-        """Return the account that holds ``key``, or None."""
+        """Return the account that ``key`` belongs to, or None."""
         return self._by_key.get(key)
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
@@ -1,22 +1,23 @@
-"""Upstream instances as they announce themselves, by service."""
+"""Announced upstream instances, by service."""
 
 import threading
 from typing import NamedTuple
 
 from ..digests import get_digest
 
-# Lives kept that said that they leave; the oldest go first.
+# Incarnations that are stored as leaving; the oldest are discarded first.
 _MAX_LEAVING_COUNT = 1_000
 
 
 class Instance(NamedTuple):
-    """One life of an upstream, from a start of its process to its end.
-
-    ``id`` is its own: what is believed of caches, load and condition, its connections
-    and its place in reports go by it, and so end with the life. ``announced_as`` is the
-    id in its records, which a later life may have too; empty where both are the same.
-    ``warming`` is how much longer it warms up, in seconds, as of its record.
-    ``sequence`` rises with the records that a life writes.
+    """One incarnation of an upstream: its process from start to end.
+
+    ``id`` is unique to the incarnation. The state of its caches, load and health, its
+    connections and its place in reports are keyed by it, so that a new incarnation
+    inherits nothing. ``announced_as`` is the id in its records, which a later
+    incarnation may share; it is empty if both ids are the same. ``warming`` is the
+    remaining warm-up time in seconds as of its record. ``sequence`` increases with each
+    record that an incarnation writes.
     """
 
     id: str
@@ -31,19 +32,19 @@
 
     @property
     def announced_id(self):
-        """Return the id that it answers to."""
+        """Return the id that the upstream itself uses."""
         return self.announced_as or self.id
 
 
 def make_life_id(announced_id, started_at):
-    """Return the id of the life that began at ``started_at``, None where that is not said."""
+    """Return the id of an incarnation; ``started_at`` is None if it is unknown."""
     return announced_id if started_at is None else f"{announced_id}@{started_at}"
 
 
 def is_stale_record(instance, known):
-    """Return whether a record that says ready is older than one that says leaving.
+    """Return whether a ready record is older than a known leaving record.
 
-    A write whose answer was lost may take effect late, behind a newer record.
+    A write whose answer was lost may take effect late, after a newer record.
     """
     is_same_life = instance.id == known.id
     returns = instance.ready and not known.ready
@@ -51,32 +52,34 @@
 
 
 class Noted(NamedTuple):
-    """The record that an instance is known by, and when it came (steady clock)."""
+    """Offset and arrival time (steady clock) of the last record of an instance."""
 
     offset: int
     at: float
 
 
 class Directory:
-    """All instances known, by their records and by what they say in answers."""
+    """All known instances, from their records and from signals in their answers."""
 
     def __init__(self):
         self.by_id = {}
         self._records = {}
         self._ready = {}
         self._by_digest = {}
-        # Lives that said outside their record that they leave, and from where it is
-        # known. A life that leaves never comes back, whatever its record still says.
+        # Sources of the leaving signals that arrived outside the records, by id. An
+        # incarnation that leaves never becomes ready again, even if its record still
+        # contains the ready state.
         self._leaving_sources = {}
-        # Those of them whose record still says ready, None where it has to be found.
+        # Those of them whose record is still ready; None if it must be recomputed.
         self._unrecorded_leaving = None
-        # Rises with each life that peers have to learn of.
+        # Increases with each leaving incarnation that has to be reported to peers.
         self.leaving_version = 0
-        # Records come from the store's readers, answers on the event loop.
+        # Records are applied by the threads that read the store, answers by the event
+        # loop.
         self._lock = threading.Lock()
 
     def put(self, instance, record=None):
-        """Add or replace an instance, ``record`` by a record."""
+        """Add or replace an instance; ``record`` is where its record was read."""
         with self._lock:
             self._unrecorded_leaving = None
             self._records[instance.id] = record
@@ -88,7 +91,7 @@
                 self._update_ready_index(old.service)
 
     def remove(self, instance_id):
-        """Forget an instance; return it, or None if it was not known."""
+        """Remove an instance; return it, or None if it was not present."""
         with self._lock:
             self._unrecorded_leaving = None
             self._records.pop(instance_id, None)
@@ -99,7 +102,7 @@
         return old
 
     def mark_leaving(self, instance_id, source):
-        """Note that a life leaves; return whether that is news."""
+        """Mark an incarnation as leaving; return whether it was not known to leave."""
         with self._lock:
             if instance_id in self._leaving_sources:
                 return False
@@ -114,7 +117,7 @@
             return instance is None or instance.ready
 
     def get_leaving(self):
-        """Return the source by id of the lives whose record still says ready."""
+        """Return the sources, by id, of leaving incarnations with a ready record."""
         with self._lock:
             if self._unrecorded_leaving is None:
                 self._unrecorded_leaving = self._find_unrecorded_leaving()
@@ -129,32 +132,32 @@
         }
 
     def count_leaving(self):
-        """Return how many instances leave by their record."""
+        """Return the number of instances whose record is in the leaving state."""
         return sum(not row.ready for row in list(self.by_id.values()))
 
     def get_noted(self, instance_id):
-        """Return by which record an instance is known, or None."""
+        """Return the `Noted` position of the last record of an instance, or None."""
         return self._records.get(instance_id)
 
     def get_id(self, digest):
-        """Return the id of the instance that a digest stands for, or None."""
+        """Return the id of the instance with this digest, or None."""
         return self._by_digest.get(digest)
 
     def get_ready(self, service):
-        """Return the instances of a service that take new requests."""
+        """Return the instances of a service that accept new requests."""
         return self._ready.get(service, ())
 
     def get_all_ready(self):
-        """Return the instances of every service that take new requests."""
+        """Return the instances of all services that accept new requests."""
         return [row for rows in list(self._ready.values()) for row in rows]
 
     def is_ready(self, instance_id):
-        """Return whether the instance is known and takes new requests."""
+        """Return whether the instance is known and accepts new requests."""
         instance = self.by_id.get(instance_id)
         return instance is not None and self._accepts_requests(instance)
 
     def is_leaving(self, instance_id):
-        """Return whether the instance has said that it leaves, in whatever way."""
+        """Return whether the instance leaves, by its record or by another signal."""
         instance = self.by_id.get(instance_id)
         if instance is not None and not instance.ready:
             return True
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/evacuations.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/evacuations.py
@@ -1,18 +1,18 @@
-"""Failure domains that operators have emptied: their upstreams get no new work.
+"""Failure domains that operators have evacuated: their upstreams get no new requests.
 
-An evacuation is in force from its record on the configuration topic until that
-record is removed. Streams under way go on to their end.
+An evacuation is in force while its record exists on the configuration topic. Active
+streams continue until they end.
 """
 
 
 class Evacuations:
-    """Domains under evacuation. Readers use `domains`; one thread writes."""
+    """The evacuated domains. Readers use `domains`; one thread writes."""
 
     def __init__(self):
         self.domains = frozenset()
 
     def begin(self, domain):
-        """Put an evacuation in force; return False if it was in force already."""
+        """Start an evacuation; return False if it was already in force."""
         is_new = domain not in self.domains
         self.domains |= {domain}
         return is_new
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/expired_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/expired_records.py
@@ -1,27 +1,26 @@
-"""Upstreams whose records went because the store was away.
+"""Upstreams whose records expired during an outage of the store.
 
-Upstreams renew their records, and while the store is away they cannot. So
-records may go although their upstreams live; these write them again as soon as
-they reach the store. An upstream that said nothing of leaving is therefore used
-on for a short while after the store came back, and is gone if its record is
-still missing then.
+Upstreams renew their records and cannot do so while the store is unavailable. Records
+may therefore expire although their upstreams are running, and running upstreams write
+them again as soon as they reach the store. An upstream that did not announce its
+leaving is therefore retained for a short time after the store has recovered, and is
+removed if its record is still missing at the end of that time.
 """
 
-# Seconds in which live upstreams renew their records once the store is back; the
-# platform's figure.
+# The platform guarantees that running upstreams renew their records within this time
+# after the store has recovered.
 _RENEWAL_S = 2.0
-# Seconds for the last send on its way, within the time allowed for a leaving
-# upstream.
+# Part of the time allowed for a leaving upstream that is left for a request in flight.
 _SEND_MARGIN_S = 0.2
 
 
 class Lapses:
-    """When the store came back, and the upstreams used on without a record.
+    """The time of the store's recovery, and the upstreams retained without a record.
 
     Parameters
     ----------
     leave_within : float
-        Seconds in which a leaving upstream must get no more new work.
+        Seconds after which a leaving upstream must get no new requests.
     """
 
     def __init__(self, leave_within):
@@ -33,16 +32,19 @@
         return len(self._retained_until)
 
     def mark_store_recovered(self, at):
-        """Note when the store, having been away, answered again."""
+        """Record when the store answered again after an outage."""
         if self._recovered_at is None or at > self._recovered_at:
             self._recovered_at = at
 
     def get_age(self, now):
-        """Return seconds since the store came back, negative for never."""
+        """Return the seconds since the store recovered, negative if it never did."""
         return -1.0 if self._recovered_at is None else now - self._recovered_at
 
     def retain(self, instance, now):
-        """Keep an upstream whose record is gone; return until when, or None."""
+        """Retain an upstream whose record was removed.
+
+        Return the end of the retention, or None if the upstream is not retained.
+        """
         if not instance.ready or self._recovered_at is None:
             return None
         until = self._recovered_at + self._retention_s
@@ -52,11 +54,11 @@
         return until
 
     def stop_retaining(self, instance_id):
-        """Note that the record is back; return whether the upstream was held."""
+        """End the retention of an upstream; return whether it was retained."""
         return self._retained_until.pop(instance_id, None) is not None
 
     def pop_expired(self, now):
-        """Return and forget the ids of upstreams whose records did not come back."""
+        """Remove and return the ids of upstreams whose retention has ended."""
         expired = [name for name, until in self._retained_until.items() if now >= until]
         for name in expired:
             del self._retained_until[name]
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
@@ -1,4 +1,4 @@
-"""Keeping up with a topic of the platform's store."""
+"""Continuous reading of a topic of the platform's store."""
 
 import threading
 from typing import NamedTuple
@@ -13,24 +13,24 @@
 _MAX_RETRY_DELAY_S = 1.0
 _IDLE_CHECK_S = 0.15
 _BATCHING_DELAY_S = 0.2
-# Records before the newest one of a ranked key in which a higher one may stand: many
-# more than are written while a lost answer is waited for.
+# Number of records before the newest one of a ranked key that are searched for a higher
+# one. Far fewer are written while a writer waits for a lost answer.
 _MAX_HISTORY_RECORDS = 32
-# Characters of a key on a line of the log.
 _MAX_LOGGED_KEY_CHARS = 120
-# Seconds beyond a call's own wait after which the store counts as having been
-# away: a hundred times its usual answer of some milliseconds.
+# An answer that is later than this, beyond the requested wait, means that the store was
+# unavailable: the store usually answers within some milliseconds, a hundredth of this.
 _LATE_ANSWER_S = 0.5
-# Seconds beyond a call's own wait after which its answer counts as overdue: what a slow
-# store takes.
+# An answer is overdue after this time beyond the requested wait, which is the answer
+# time of a slow store.
 _OVERDUE_S = 0.3
 
 
 class StoreCall(NamedTuple):
-    """A call under way.
+    """A call of the store.
 
-    ``started_at`` is when it began, ``wait`` how long the store may keep it, in seconds, and
-    ``stalled`` for how long this process had been paused until then.
+    ``started_at`` is the time of its start, ``wait`` the time in seconds for which the
+    store may delay the answer, and ``stalled`` the total time in seconds for which this
+    process had been paused before the start.
     """
 
     started_at: float
@@ -39,32 +39,33 @@
 
 
 class TopicFollower:
-    """Keeps up with a keyed topic: lists it, then waits for records.
+    """Follows a keyed topic: lists it once, then waits for new records.
 
     Parameters
     ----------
     apply : callable
-        Called with each `Entry` that is newer than what was known of its key.
-    on_listed : callable
-        Called with the end offset after each listing or batch has been applied.
+        Called with each `Entry` that is newer than the known one of its key.
+    on_merged : callable
+        Called with the end offset after each merged listing or batch.
     poll : callable
-        Returns how long a call waits for a record, in seconds.
+        Returns for how many seconds a call waits for a record.
     is_wanted : callable
-        Returns whether to read now; a gateway that takes its view from a peer
-        reads nothing itself.
-    on_heard : callable
-        Called with the topic and the time as of which it is known whole, after what
-        the store answered has been applied.
-    on_regained : callable
-        Called with the time when the store answers after it was away, before
-        what it answered is applied.
-    get_stalled : callable
-        Returns for how many seconds this process has been paused so far.
-    wait_wanted : callable
-        Called with ``stopped`` while not wanted; returns after a while at most.
+        Returns whether to read now; a gateway that gets its view from a peer does not
+        read the store.
+    on_complete : callable
+        Called with the topic and the time as of which the view of it is complete,
+        after an answer of the store has been applied.
+    on_recovered : callable
+        Called with the current time when the store answers after an outage, before the
+        answer is applied.
+    get_stall_seconds : callable
+        Returns the total time in seconds for which this process has been paused.
+    wait_until_wanted : callable
+        Called with ``stopped`` while reading is not wanted; returns after a bounded
+        time.
     is_done : callable
-        Returns whether the topic need not be read any more.
-    on_taken : callable
+        Returns whether the topic no longer has to be read.
+    on_update : callable
         Called with the topic and the `view_source.Taken` of each listing or batch.
     rank : callable
         As for `topics.TopicRecords`.
@@ -101,11 +102,11 @@
         self._lock = threading.RLock()
         self._retry_delay = _FIRST_RETRY_DELAY_S
         self._available = None
-        # The call that the follower's own thread makes now, or made last.
+        # The current or last call of the follower's own thread.
         self._call = None
         self._is_call_active = False
         self._was_unavailable = False
-        # Calls in a row that their own limit ended.
+        # Number of consecutive calls that timed out.
         self._timeout_count = 0
         self._answered_at = None
         self._complete_at = None
@@ -117,7 +118,7 @@
         self._is_done = is_done
 
     def run(self, stopped):
-        """Follow until ``stopped`` is set or it is done; the body of a thread."""
+        """Follow until ``stopped`` is set or `is_done` returns true; a thread body."""
         while not stopped.is_set() and not self._is_done():
             if not self._is_wanted():
                 self._wait_until_wanted(stopped)
@@ -127,11 +128,11 @@
                 stopped.wait(self._retry_delay)
                 self._retry_delay = min(self._retry_delay * 2, _MAX_RETRY_DELAY_S)
             elif self.end != before:
-                # Changes come in series; one call then brings several.
+                # Changes come in series, so a short delay collects several per call.
                 stopped.wait(_BATCHING_DELAY_S)
 
     def start(self, stopped):
-        """Follow in a thread of its own."""
+        """Follow in a separate thread."""
         threading.Thread(
             target=self.run, args=(stopped,), name=f"follow-{self._topic}", daemon=True
         ).start()
@@ -155,7 +156,7 @@
             self._mark_unavailable(self._call, str(exc))
             return False
         except Exception as exc:
-            # A record that nobody foresaw must not end the following of others.
+            # An unexpected record must not end the following of the topic.
             self._log.note(
                 "following failed", failed=True, topic=self._topic, why=repr(exc)
             )
@@ -168,10 +169,10 @@
         return True
 
     def refresh(self):
-        """Read what is new on a connection of its own; return whether it could be had.
+        """Read new records on a new connection; return whether the store answered.
 
-        May be called while the follower's own call waits: that one cannot tell a quiet
-        store from a connection that nothing passes any more.
+        This may be called while the follower's own call waits, because that call cannot
+        distinguish a store without new records from a dead connection.
         """
         call = self._create_call(0.0)
         try:
@@ -183,15 +184,15 @@
         return True
 
     def mark_outage(self):
-        """Note that the store is away, as another topic's new call has shown."""
+        """Mark the store as unavailable after a failed call for another topic."""
         self._was_unavailable = True
 
     def is_waiting(self, now, seconds):
-        """Return whether the follower's own call has lasted for longer than that."""
+        """Return whether the follower's own call has lasted longer than ``seconds``."""
         return self._is_call_active and now - self._call.started_at > seconds
 
     def is_overdue(self, now):
-        """Return whether the answer to the follower's own call should have come."""
+        """Return whether the answer to the follower's own call is overdue."""
         return (
             self._is_call_active
             and now - self._call.started_at > self._call.wait + _OVERDUE_S
@@ -199,17 +200,17 @@
 
     @property
     def unapplied(self):
-        """Return how many records could not be applied yet."""
+        """Return the number of records that could not be applied yet."""
         return len(self._records.get_unapplied())
 
     def retry_unapplied(self):
-        """Try once more what could not be applied."""
+        """Retry the records that could not be applied."""
         with self._lock:
             self._records.retry_unapplied(self._records.get_unapplied())
 
     @property
     def is_away(self):
-        """Return whether the store did not answer the last call."""
+        """Return whether the last call of the store failed."""
         return self._available is False
 
     @property
@@ -218,30 +219,30 @@
         return self._topic
 
     def get_age(self, now):
-        """Return how long ago the topic was whole by the store's answers, or None."""
+        """Return the seconds since the topic was complete by an answer, or None."""
         return None if self._complete_at is None else max(0.0, now - self._complete_at)
 
     @property
     def end(self):
-        """Return the offset up to which the topic is known whole."""
+        """Return the offset up to which all records of the topic are known."""
         return self._records.end
 
     def get_listing(self):
-        """Return what is known as a `Listing`, for a peer."""
+        """Return all known records as a `Listing` for a peer."""
         with self._lock:
             return self._records.get_listing()
 
     def get_batch(self, offset):
-        """Return a `Batch` of what changed from ``offset`` on, None if not known."""
+        """Return a `Batch` of the changes from ``offset`` on, None if unknown."""
         with self._lock:
             return self._records.get_batch(offset)
 
     def merge_listing(self, listing, source="peer"):
-        """Take in a peer's listing; older records than ours change nothing."""
+        """Merge a listing of a peer; records older than the known ones are ignored."""
         self._merge(self._records.merge_listing, listing, source, True)
 
     def merge_batch(self, batch, source="peer"):
-        """Take in what a peer says has changed since our end."""
+        """Merge changes since our end offset that a peer has sent."""
         self._merge(self._records.merge_batch, batch, source, False)
 
     def _list(self):
@@ -253,7 +254,7 @@
         self._mark_complete(call.started_at)
 
     def _read(self):
-        # What a peer has told meanwhile need not be read again.
+        # Records that a peer has sent meanwhile are not read again.
         start = self._next_offset = max(self._next_offset, self.end)
         call = self._begin_call(self._poll())
         try:
@@ -264,7 +265,7 @@
         self._record_answer(call)
         self._merge(self._records.merge_batch, batch, STORE, False)
         self._next_offset = batch.end
-        # The store answers without a record only once it has waited for one.
+        # An answer without records is sent only after the requested wait.
         waited = 0.0 if batch.entries else call.wait
         if batch.is_whole:
             self._mark_complete(min(call.started_at + waited, self._clock()))
@@ -284,7 +285,7 @@
         self._mark_complete(call.started_at)
 
     def _get_listing(self, anew=False):
-        """List the topic, with ranked keys as high as its history knows them."""
+        """List the topic, with the highest record of its history for ranked keys."""
         listing = self._store.list_newest(self._topic, anew)
         ranked = [row for row in listing.entries if self._rank(row) is not None]
         history = []
@@ -293,7 +294,7 @@
         return restore_highest_ranked(listing, history, self._rank)
 
     def _read_history(self, end, anew):
-        """Return the last records before an offset, as far as they are kept."""
+        """Return the last records before an offset that the store still has."""
         entries = []
         start = max(0, end - _MAX_HISTORY_RECORDS)
         while start < end:
@@ -336,11 +337,12 @@
         )
 
     def _record_timeout(self, why):
-        """Tell of a call that its own limit ended.
+        """Log a call that timed out.
 
-        It may only have lost its connection, and the next call has a new one: an outage
-        shows itself to that, or to calls made anew as the view grew old. Taken for one,
-        the silence would keep upstreams that left in use for two seconds more.
+        A single timeout may be a lost connection and does not count as an outage. An
+        outage shows at the next call, which has a new connection, or at a refresh of
+        the aging view. Counting the timeout as an outage would keep upstreams that have
+        left in use for two more seconds.
         """
         now = self._clock()
         age = self.get_age(now)
@@ -357,13 +359,13 @@
             self._mark_unavailable(self._call, why)
 
     def _mark_unavailable(self, call, why):
-        """Note that the store is away, unless this process had no time to hear it."""
+        """Mark the store as unavailable, unless this process was paused meanwhile."""
         if self._get_stall_seconds() - call.stalled <= _LATE_ANSWER_S:
             self._was_unavailable = True
         self._set_available(False, why)
 
     def _record_answer(self, call):
-        """Tell where this answer ends a time in which the store was away."""
+        """Log a late answer, and report a recovery if it ends an outage."""
         now = self._clock()
         stalled = self._get_stall_seconds() - call.stalled
         late = now - call.started_at - call.wait
@@ -374,14 +376,15 @@
                 late_s=round(late, 3),
                 stalled_s=round(stalled, 3),
             )
-        # An answer that lay here unread is no outage: an upstream whose record went
-        # meanwhile has left, and would get work for two seconds more.
+        # A late answer is no outage if this process was paused before reading it. An
+        # upstream whose record was removed meanwhile has left, and would otherwise get
+        # requests for two more seconds.
         if self._was_unavailable or late - stalled > _LATE_ANSWER_S:
             self._on_recovered(now)
         self._was_unavailable = False
 
     def _merge(self, merge, update, source, is_listing):
-        """Take in what was told, by the `TopicRecords` method ``merge``."""
+        """Merge an update with ``merge``, a method of `TopicRecords`."""
         with self._lock:
             begin = self.end
             unapplied = self._records.get_unapplied()
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/following.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/following.py
@@ -1,4 +1,4 @@
-"""The followers of the store's topics, and what they tell peers that ask."""
+"""The followers of the store's topics, and the view that they serve to peers."""
 
 from typing import NamedTuple
 from urllib.parse import parse_qs
@@ -10,7 +10,7 @@
 
 
 class Followers(NamedTuple):
-    """One follower for each topic of the store."""
+    """One follower per topic of the store."""
 
     catalog: TopicFollower
     instances: TopicFollower
@@ -19,7 +19,7 @@
 
 
 def create_followers(state, adapter, duty, keeper):
-    """Return the `Followers` that hand their records to a `views.ViewKeeper`."""
+    """Return the `Followers` whose records a `views.ViewKeeper` applies."""
 
     def ignore(*_):
         pass
@@ -77,8 +77,8 @@
             adapter.quarantine_topic,
             keeper.apply_quarantine,
             keeper.record_quarantine_offset,
-            # How old the view of upstreams is, and whether the store was away, the
-            # other two tell.
+            # The other two topics determine the age of the view and the outages of the
+            # store.
             on_complete=ignore,
             poll=lambda: state.cfg.store.quarantine_poll,
             on_recovered=ignore,
@@ -97,15 +97,16 @@
 
 
 def create_view_handler(state, followers):
-    """Return the handler that gives peers this gateway's view, or what changed."""
+    """Return the handler that serves this gateway's view, or its changes, to peers."""
 
     def handle(request, reply):
-        # A peer takes what it is given for all there is.
+        # A peer assumes that the returned view is complete.
         if request.path != VIEW_PATH or not state.knows_all:
             reply.send(404, [], b"")
             return
         now = state.clock()
-        # Before the records: what came meanwhile makes them newer than this says.
+        # Computed before the records are collected. Records that arrive in between
+        # only make the view newer than this age.
         age = state.freshness.get_age(now)
         data = encode_view(
             make_topic_view(followers.catalog, _get_offset(request, "catalog")),
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/topics.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/topics.py
@@ -1,4 +1,4 @@
-"""What is known of a keyed topic: the newest record of each key, up to an end."""
+"""The newest record of each key of a topic, up to an end offset."""
 
 import collections
 from typing import NamedTuple
@@ -17,8 +17,8 @@
 class Listing(NamedTuple):
     """The newest record of each key.
 
-    ``end`` is the offset that a reader goes on from: records that came while
-    the pages were read lie behind it.
+    ``end`` is the offset from which to read on. Records that were written while the
+    pages were read have higher offsets.
     """
 
     entries: list[Entry]
@@ -26,9 +26,9 @@
 
 
 class Batch(NamedTuple):
-    """Records read in order; ``end`` is the offset to go on from.
+    """Records in order; ``end`` is the offset from which to read on.
 
-    ``is_whole`` tells whether the topic ended there when it was read.
+    ``is_whole`` is true if the topic ended there when it was read.
     """
 
     entries: list[Entry]
@@ -37,15 +37,15 @@
 
 
 def restore_highest_ranked(listing, history, rank):
-    """Return a `Listing` in which no ranked key has fallen behind its own history.
+    """Return a `Listing` in which ranked keys have the highest record of their history.
 
-    A write whose answer was lost may take effect late, behind newer ones, and is then
+    A write whose answer was lost may take effect late, after newer ones, and is then
     the newest record of its key.
 
     Parameters
     ----------
     history : list of Entry
-        Records that came before, of any keys.
+        Earlier records of any keys.
     rank : callable
         As for `TopicRecords`.
     """
@@ -60,26 +60,27 @@
 
 
 def _outranks(rank, entry, other):
-    """Return whether a record ranks higher; offsets do not count."""
+    """Return whether a record has a higher rank, regardless of offsets."""
     first, second = rank(entry), rank(other)
     return first is not None and second is not None and first > second
 
 
 class TopicRecords:
-    """The newest record of each key, whole up to `end`.
+    """The newest record of each key, complete up to `end`.
 
-    Whole means that every removal before the end is known too: a key that is not
-    known has been removed, whatever an older view says of it.
+    Complete includes every removal before the end. A key that is not known has been
+    removed, even if an older view contains it.
 
     Parameters
     ----------
     apply : callable
-        Called with each `Entry` that is newer than what was known of its key.
-    on_fault : callable
-        Called with an `Entry` and the exception that applying it raised.
+        Called with each `Entry` that is newer than the known one of its key.
+    on_error : callable
+        Called with an `Entry` and the exception raised by ``apply``.
     rank : callable
-        Called with an `Entry`; returns what decides between two records of a key, the
-        higher one being in force wherever it stands, or None where the newest is.
+        Called with an `Entry`; returns its rank, or None if its key is not ranked. Of
+        two records of a ranked key the higher one is in force, regardless of offsets;
+        of an unranked key the newest one.
     """
 
     def __init__(
@@ -89,10 +90,10 @@
         self._rank = rank
         self._on_error = on_error
         self._entries = {}
-        # What could not be applied yet, by key.
+        # Records that could not be applied yet, by key.
         self._unapplied = {}
         self._removed = collections.deque()
-        # Changes from here on are all known, removals among them.
+        # All changes from this offset on are known, including removals.
         self._first_known_offset = 0
         self.end = 0
 
@@ -101,25 +102,25 @@
         return list(self._unapplied.values())
 
     def retry_unapplied(self, entries):
-        """Try once more those that could not be applied and are still the newest."""
+        """Retry those entries that are unapplied and still the newest of their key."""
         for entry in entries:
             if self._unapplied.get(entry.key) is entry:
                 self._apply_or_keep(entry)
 
     def get_listing(self):
-        """Return what is known as a `Listing`."""
+        """Return all known records as a `Listing`."""
         kept = [e for e in self._entries.values() if e.value is not None]
         return Listing(kept, self.end)
 
     def get_batch(self, offset):
-        """Return a `Batch` of what changed from ``offset`` on, None if not known."""
+        """Return a `Batch` of the changes from ``offset`` on, None if unknown."""
         if offset < self._first_known_offset:
             return None
         rows = [e for e in self._entries.values() if e.offset >= offset]
         return Batch(sorted(rows, key=lambda row: row.offset), self.end)
 
     def merge_listing(self, listing):
-        """Take in a listing; one that is older than what is known changes nothing."""
+        """Merge a listing; of an older one only higher ranked records are used."""
         if listing.end < self.end:
             for entry in listing.entries:
                 self._merge_if_higher(entry)
@@ -129,19 +130,19 @@
             self._merge(entry)
         kept = {e.key for e in self._entries.values() if e.value is not None}
         for key in kept - listed:
-            # The key was removed while nothing was heard.
+            # The key was removed between two reads.
             self._merge(Entry(key, None, listing.end - 1))
         if listing.end > self.end:
-            # A listing does not show keys that came and went since our end. A peer that
-            # knows such a key would keep it forever if it got changes without the
-            # removal, so peers that are further behind get a listing too.
+            # A listing omits keys that were written and removed since our end. A peer
+            # with such a key would keep it forever if it got the changes without the
+            # removal, so peers with an older view get a listing too.
             self._first_known_offset = listing.end
         self.end = listing.end
 
     def merge_batch(self, batch):
-        """Take in records that begin at our end or before it."""
+        """Merge a batch that begins at our end offset or before it."""
         for entry in batch.entries:
-            # Known before, and gone since, where it is below our end.
+            # An unknown key below our end was known before and has been removed.
             if entry.offset >= self.end or entry.key in self._entries:
                 self._merge(entry)
         self.end = max(self.end, batch.end)
@@ -166,9 +167,9 @@
             self._merge(entry)
 
     def _merge_outranked(self, entry, known):
-        """Keep the record in force, as of the newer offset.
+        """Keep the known record, with the offset of the outranked one.
 
-        Peers that know less are then given it with all that came before that offset.
+        Peers with an end offset before the outranked record then get the known one.
         """
         if entry.offset <= known.offset:
             return
@@ -177,14 +178,14 @@
         if self._unapplied.get(entry.key) is known:
             self._unapplied[entry.key] = moved
         else:
-            # Applying it changes nothing and logs why.
+            # Applying the outranked record changes nothing, and logs the reason.
             self._apply_or_keep(entry)
 
     def _apply_or_keep(self, entry):
-        """Apply a record, or keep it for later.
+        """Apply a record, or keep it for a retry if applying raises.
 
-        It is known from now on and nobody tells it again, so one whose applying raises
-        would be passed over for good, and the records after it with it.
+        A known record is not read again. Without the retry, a record whose applying
+        raises would be skipped forever, and so would the records after it.
         """
         try:
             self._apply(entry)
@@ -197,7 +198,7 @@
             self._unapplied.pop(entry.key, None)
 
     def _record_removal(self, entry):
-        """Keep the newest removals, so that peers can be told of them."""
+        """Store the newest removals for batches to peers."""
         self._removed.append(entry)
         while len(self._removed) > _MAX_REMOVED_COUNT:
             oldest = self._removed.popleft()
--- a/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
@@ -1,4 +1,4 @@
-"""Where this gateway's view of the store comes from, for the lines of its log."""
+"""Origin and age of this gateway's view of the store, as fields for its log."""
 
 import operator
 from typing import NamedTuple
@@ -7,11 +7,11 @@
 
 
 class Taken(NamedTuple):
-    """What was last taken into the view of a topic.
+    """The last update of the view of a topic.
 
-    ``begin`` and ``end`` are how far the view reached before and after, as offsets;
-    ``source`` is `STORE` or the host of a peer. ``is_listing`` tells a listing of
-    what exists from records that changed. ``at`` is on the steady clock.
+    ``begin`` and ``end`` are the end offsets of the view before and after the update.
+    ``source`` is `STORE` or the host of a peer. ``is_listing`` is true for a listing of
+    all keys and false for a batch of changes. ``at`` is on the steady clock.
     """
 
     begin: int
@@ -22,10 +22,11 @@
 
 
 def is_newer(report, state):
-    """Return whether a peer's report shows a view that knows more than ours.
+    """Return whether a peer's view is newer than ours, according to its report.
 
-    Offsets tell how far both have read; what that brought may differ, where one took
-    its view from records that are no longer all there.
+    The version of the configuration is compared as well as the offsets. At the same
+    offset two gateways may have different versions if one of them read the topic after
+    some of its records had been deleted.
     """
     if report.catalog_version > get_version(state):
         return True
@@ -33,12 +34,12 @@
 
 
 def get_version(state):
-    """Return the version of the configuration in force, 0 for none."""
+    """Return the version of the current configuration, 0 if there is none."""
     return state.catalog.version if state.catalog else 0
 
 
 def describe_view(state, now):
-    """Return the fields that tell how old the view of the instances is, and why."""
+    """Return log fields on the age and the origin of the view of the instances."""
     age = state.freshness.get_age(now)
     fields = {
         "view_offset": state.directory_offset,
@@ -54,7 +55,7 @@
 
 
 def describe_catalog(state, now):
-    """Return the fields that tell by which configuration, how old, was decided."""
+    """Return log fields on the configuration used for a decision, and on its age."""
     age = state.freshness.get_age(now)
     since = state.catalog_since
     update = state.taken.get(state.catalog_topic)
@@ -72,9 +73,9 @@
 
 
 def describe_upstream(state, instance_id, now):
-    """Return the fields that tell by what an upstream is believed to take work.
+    """Return log fields on the evidence that an upstream accepts requests.
 
-    They are its record and what it answered last, with their ages.
+    These are the offset and age of its record and the age of its last answer.
     """
     answered = state.loads.get(instance_id, now).answered
     answer_age = None if answered is None else round(now - answered, 3)
