--- a/packages/valeweir_gateway/src/valeweir_gateway/view/publishing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/publishing.py
@@ -1,4 +1,4 @@
-"""Telling the store where this gateway listens, so that others find it."""
+"""Publication of this gateway's address in the store, so that others find it."""
 
 import threading
 
@@ -6,16 +6,16 @@
 
 _FIRST_RETRY_DELAY_S = 0.3
 _MAX_RETRY_DELAY_S = 5.0
-# How long to wait for the list of members, which may hold this gateway's record.
+# Maximum wait for the list of members, which may contain this gateway's record.
 _LISTING_TIMEOUT_S = 1.0
 _LISTING_CHECK_S = 0.02
 
 
 class Publisher:
-    """Writes this gateway's address once, trying again until it is taken.
+    """Writes this gateway's address to the store, with retries until it succeeds.
 
-    A gateway that was here before has its record in the list of members, and writes
-    none. Writing it twice does no harm: the record is the same.
+    A restarted gateway whose record is in the list of members writes nothing. Writing
+    the record twice is harmless, because both records are equal.
     """
 
     def __init__(self, state, adapter, address):
@@ -25,13 +25,13 @@
         self._address = address
 
     def start(self, stopped):
-        """Publish in a thread of its own."""
+        """Publish in a separate thread."""
         threading.Thread(
             target=self.run, args=(stopped,), name="publish", daemon=True
         ).start()
 
     def run(self, stopped):
-        """Publish, with pauses that double, until done or ``stopped``."""
+        """Publish with exponential backoff until it succeeds or ``stopped`` is set."""
         delay = _FIRST_RETRY_DELAY_S
         record = self.make_record()
         self._wait_for_listing(stopped)
@@ -45,7 +45,7 @@
             delay = min(delay * 2, _MAX_RETRY_DELAY_S)
 
     def make_record(self):
-        """Return the bytes that tell others where this gateway listens."""
+        """Return the record with this gateway's domain, address and capacity."""
         cfg = self._state.cfg
         return f"{cfg.domain} {self._address} {cfg.processor.capacity:g}".encode()
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
@@ -1,24 +1,24 @@
-"""Reading the store anew where the view has grown too old to be believed.
+"""Reads of the store on new connections when the view becomes too old.
 
-A gateway waits at the store for the next record. An open connection may fall silent for
-good while new ones work, and nothing on it tells that from a store with nothing to say:
-keep-alives are answered by whatever stands between. With each change all gateways begin
-to wait anew, so that they go deaf together, and no peer knows better. So the age of the
-view bounds every wait: before a change may be missed for too long, who reads the store
-asks it again on a new connection.
+A gateway waits at the store for the next record. An open connection may stop delivering
+data while new connections work, and a gateway cannot distinguish this from a store
+without new records, because keep-alives are answered by intermediaries. Each change
+makes all gateways start a new wait, so they lose their connections at the same time and
+no peer has a newer view. The age of the view therefore bounds every wait: a gateway
+that reads the store asks it again on a new connection before a change could be missed
+for too long.
 """
 
 from .store_readers import get_longest_age
 
-# All in seconds.
-# A call younger than this may still be answered at once.
+# A younger call may still be answered at once.
 _MIN_CALL_AGE_S = 0.2
 _REFRESH_INTERVAL_S = 1.0
 _APPLY_INTERVAL_S = 0.3
 
 
 class Refresher:
-    """Has followers read anew, and apply again what they could not.
+    """Makes followers read on new connections and retry unapplied records.
 
     Parameters
     ----------
@@ -38,7 +38,7 @@
         self._next_apply = 0.0
 
     def check(self, now):
-        """Do what is due; calls of the store are made before it returns."""
+        """Refresh and retry what is due; blocks during calls of the store."""
         self._retry_unapplied(now)
         if (
             now < self._next_refresh
@@ -53,7 +53,8 @@
             return
         self._next_refresh = now + _REFRESH_INTERVAL_S
         if not all(follower.refresh() for follower in waiting):
-            # The rest would wait as long in vain; what ends an outage counts for all.
+            # The other calls would time out as well. The outage is marked for all
+            # topics, so that its end is detected by each of them.
             for follower in waiting:
                 follower.mark_outage()
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/store_readers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/store_readers.py
@@ -1,28 +1,28 @@
-"""Whether a gateway reads the store itself.
+"""Decision whether a gateway reads the store itself.
 
-Every call of the store has its price, and in a large fleet the first relay of
-each failure domain reads for all. The others read only while their view, by what
-their relay tells them, is not known to be new enough.
+Calls of the store are expensive, so in a large fleet only the first relay of each
+failure domain reads for all. The other gateways read only while the view that they get
+from their relay is not known to be recent enough.
 """
 
 import math
 import threading
 
-# All in seconds.
-# Of the time in which a leaving upstream must get no more: what it takes to notice an
-# old view (0.15), to call the store, to take in its answer, and to send.
+# Part of the time allowed for a leaving upstream that is needed to notice an old view
+# (0.15 s), to call the store, to apply its answer and to send a request.
 _READ_S = 0.6
-# What a view ages on its way from the gateway that reads: at two steps each, the
-# heartbeat that brings the stamp (0.3), and the ticks of crowded relays.
+# Age that a view gains on its way from the reading gateway: two hops, each with the
+# interval of the heartbeat that carries the time stamp (0.3 s) and the ticks of loaded
+# relays.
 _RELAY_DELAY_S = 1.0
-# The same in a mesh, where everybody hears the one that asks often.
+# The same in a mesh, where all gateways get reports from the frequent reader.
 _MESH_DELAY_S = 0.4
 _MAX_READER_POLL_S = 1.0
 _MIN_POLL_S = 0.2
-# At the start others may soon be heard that have read the store already.
+# At startup a gateway first waits for peers that have already read the store.
 _MAX_MEMBERS_WAIT_S = 1.0
 _MAX_VIEW_WAIT_S = 2.0
-# Gateways that start together have written where they listen by the second time.
+# Gateways that start at the same time have published their addresses by this time.
 _SECOND_MEMBERS_READ_S = 2.5
 _MAX_MEMBERS_READ_S = 5.0
 _TEMPORARY_READ_S = 5.0
@@ -30,17 +30,18 @@
 
 
 def get_longest_age(cfg):
-    """Return the seconds of age at which a view leaves just the time to read the store.
+    """Return the age in seconds above which a view is too old.
 
-    A leaving upstream that is not in it yet may then still get what is sent, and a
-    change of the configuration be in force too late.
+    At this age there is just enough time left to read the store. With an older view a
+    leaving upstream could still get requests, and a change of the configuration could
+    come into force too late.
     """
     allowed = min(cfg.upstreams.leave_within_ms, cfg.store.change_within_ms)
     return allowed / 1000.0 - _READ_S
 
 
 class StoreDuty:
-    """Decides from the fleet's plan and from how old the peers' views are."""
+    """Decides by the fleet's plan and the age of the view whether to read the store."""
 
     def __init__(self, state, get_plan):
         self._state = state
@@ -69,34 +70,38 @@
         return reads
 
     def wait_until_reading(self, stopped):
-        """Return once this gateway reads the store, or after half a second."""
+        """Wait until this gateway reads the store, for at most half a second."""
         with self._changed:
             self._changed.wait_for(
                 lambda: self._reads or stopped.is_set(), _CHECK_INTERVAL_S
             )
 
     def read_store_temporarily(self, now):
-        """Read the store for a while: peers know more and do not tell it."""
+        """Read the store for some seconds.
+
+        This is used when peers have a newer view and do not deliver it.
+        """
         self._temporary_until = now + _TEMPORARY_READ_S
 
     def should_read_members(self):
-        """Return whether to read now who else there is.
+        """Return whether to read the list of members now.
 
-        Once at the start and once a little later: still later gateways find the
-        earlier ones and report to them.
+        It is read at startup and once shortly after. Gateways that start later find
+        the earlier ones in the list and report to them.
         """
         uptime = self._state.clock() - self._started_at
         return self._members_due_s <= uptime < _MAX_MEMBERS_READ_S
 
     def has_read_members(self):
-        """Return whether the list of members need not be read any more."""
+        """Return whether the list of members no longer has to be read."""
         uptime = self._state.clock() - self._started_at
         return uptime >= _MAX_MEMBERS_READ_S or self._members_due_s == math.inf
 
     def mark_members_read(self):
         """Record that the list of members was read.
 
-        Who finds itself there was restarted, and so are the others that it knows then.
+        A gateway that finds itself in the list was restarted, and the list contains the
+        other gateways as well. It does not read the list again.
         """
         is_first = self._state.clock() - self._started_at < _SECOND_MEMBERS_READ_S
         is_listed = self._state.member_record is not None
@@ -104,11 +109,12 @@
         self._members_due_s = _SECOND_MEMBERS_READ_S if is_second_due else math.inf
 
     def get_poll(self):
-        """Return how long a call waits for a record, in seconds.
+        """Return for how many seconds a call waits for a record.
 
-        Those that others depend on have to notice a silent store soon, and an answer
-        must come while the last one is still new enough at the others. In a mesh all
-        read, and one that asks often keeps all views young: the rest may wait long.
+        A gateway that others depend on must detect an unresponsive store early, and its
+        next answer must arrive before the previous one is too old at the others. In a
+        mesh all gateways read, and one that polls often keeps all views recent, so the
+        others may use long polls.
         """
         state = self._state
         poll = state.cfg.store.poll
@@ -142,11 +148,11 @@
         return age > get_longest_age(state.cfg)
 
     def _is_first_in_domain(self, now):
-        """Return whether no gateway before this one in its domain answers."""
+        """Return whether no earlier gateway of this domain is available."""
         return self._state.members.find_senior(now) is None
 
     def _is_first_in_fleet(self, now):
-        """Return whether no gateway before this one in the fleet answers."""
+        """Return whether no earlier gateway of the fleet is available."""
         members = self._state.members
         domains = sorted(members.get_domains())
         earlier_domains = domains[: domains.index(members.own.domain)]
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
@@ -1,8 +1,8 @@
-"""Taking a newer view from a peer that reads the store.
+"""Synchronization of the view with a peer whose view is newer.
 
-In a large fleet only some gateways read the store, and the others take what
-changed from their relay. So does a gateway that the store turns away, or that
-starts while the store is away: reports tell whose view is newer.
+In a large fleet only some gateways read the store, and the others fetch the changes
+from their relay. A gateway that the store rejects, or that starts while the store is
+unavailable, does the same. Reports contain the version of each peer's view.
 """
 
 import operator
@@ -15,34 +15,34 @@
 from .topics import Batch, Entry, Listing
 
 VIEW_PATH = "/fleet/view"
-# At most; a report of a newer view is looked at as it comes.
+# Maximum time between two checks; a report of a newer view triggers a check at once.
 _CHECK_INTERVAL_S = 0.15
 _STORE_ANSWER_WAIT_S = 0.25
 _TIMEOUT_S = 0.5
 _MAX_BEHIND_S = 0.6
-# Below the offset of a topic that is empty.
+# Lower than the end offset of an empty topic.
 _NEVER_READ_OFFSET = -1
 
 
 class TopicView(msgspec.Struct, array_like=True, frozen=True):
-    """Records of one topic; ``is_whole`` where it is a listing, no change."""
+    """Records of one topic; ``is_whole`` is true for a listing, false for changes."""
 
     entries: list[tuple[str, bytes | None, int]]
     end: int
     is_whole: bool
 
 
-# No change of a topic.
+# A topic without changes.
 NO_CHANGE = TopicView([], 0, False)
 
 
 class View(msgspec.Struct, array_like=True, frozen=True):
-    """What a gateway has read from the store, or what changed of it.
+    """A gateway's view of the store, or the changes of it.
 
-    ``regained_age`` is how long ago the store came back after it was away, in
-    seconds, negative for never: records that go soon after may be written again.
-    ``age`` is how long ago the view was whole at the latest, in seconds, negative where
-    that is not known.
+    ``regained_age`` is the time in seconds since the store recovered from an outage,
+    negative if it never did; records removed soon after a recovery may be written
+    again. ``age`` is the time in seconds since the view was last complete, negative if
+    unknown.
     """
 
     catalog: TopicView
@@ -56,7 +56,7 @@
 
 
 def make_topic_view(follower, offset):
-    """Return the `TopicView` of what changed from ``offset`` on, 0 for all."""
+    """Return the `TopicView` of the changes from ``offset`` on, 0 for all records."""
     batch = follower.get_batch(offset) if offset else None
     if batch is None:
         listing = follower.get_listing()
@@ -65,13 +65,13 @@
 
 
 def encode_view(catalog, instances, regained_age=-1.0, age=-1.0, quarantine=NO_CHANGE):
-    """Return the bytes of a view made of `TopicView`."""
+    """Return the encoded `View` of these `TopicView`."""
     view = View(catalog, instances, regained_age, age, quarantine)
     return msgspec.msgpack.encode(view)
 
 
 def decode_view(data):
-    """Return the `View` in some bytes, or None."""
+    """Return the decoded `View`, or None if the bytes are malformed."""
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError:
@@ -79,7 +79,7 @@
 
 
 def merge_topic_view(follower, view, source="peer"):
-    """Let a follower take in a `TopicView` that a peer, ``source``, has given."""
+    """Merge a `TopicView` from the peer ``source`` into a follower."""
     entries = [Entry(*row) for row in view.entries]
     if view.is_whole:
         follower.merge_listing(Listing(entries, view.end), source)
@@ -88,15 +88,15 @@
 
 
 class ViewSync:
-    """Asks peers for what changed while their view is newer than ours.
+    """Fetches changes from peers while their view is newer than ours.
 
     Parameters
     ----------
     followers : following.Followers
     port : int
-        Port of the fleet's HTTP interface, the same at every gateway.
+        Port of the fleet's HTTP interface, which is the same for all gateways.
     duty : store_readers.StoreDuty
-        Told when peers do not give their view in time.
+        Made to read the store if peers do not deliver their view in time.
     refresher : refreshing.Refresher
     """
 
@@ -112,7 +112,7 @@
         self._pool = urllib3.PoolManager(num_pools=1, maxsize=1, retries=False)
 
     def start(self, stopped):
-        """Check in a thread of its own."""
+        """Check in a separate thread."""
         threading.Thread(
             target=self._run, args=(stopped,), name="sync", daemon=True
         ).start()
@@ -132,13 +132,13 @@
         state = self._state
         quarantine = state.quarantine_offset
         if state.catalog_known and state.directory_known and not state.quarantine_known:
-            # Who stopped reading before it had listed an empty topic would wait for
-            # ever for a peer that looks newer, and never be ready.
+            # A gateway that stopped reading before it had listed an empty topic would
+            # find no peer with a higher offset and would never be ready.
             quarantine = _NEVER_READ_OFFSET
         return (state.catalog_offset, state.directory_offset, quarantine)
 
     def fetch(self, peer):
-        """Take the peer's view in; return whether it could be had."""
+        """Fetch and merge the view of a peer; return whether it succeeded."""
         host = peer.address.rpartition(":")[0]
         url = f"http://{host}:{self._port}{VIEW_PATH}"
         start_offsets = {
@@ -147,8 +147,8 @@
             "quarantine": self._quarantine.end,
         }
         requested_at = self._state.clock()
-        # Always a new connection: a kept one may have fallen silent meanwhile, and to
-        # find that out takes longer than to open another.
+        # Always use a new connection. An idle one may be dead, and detecting this takes
+        # longer than opening another.
         self._pool.clear()
         try:
             resp = self._pool.request(
@@ -163,20 +163,21 @@
         return True
 
     def _get_catalog_start_offset(self, report):
-        """Return from which offset on to ask for configurations, 0 for all.
+        """Return the offset from which to request configurations, 0 for all.
 
-        A newer one that stands before our own end is in no batch of what came since.
+        A newer configuration may have an offset before our end, and is then missing
+        from a batch of the changes since our end.
         """
         may_precede_end = report.catalog_version > get_version(self._state)
         return 0 if may_precede_end else self._catalog.end
 
     def merge_view(self, view, source, requested_at):
-        """Take in the `View` of the peer ``source`` that was asked for at a time."""
+        """Merge the `View` of the peer ``source``, requested at ``requested_at``."""
         if view.regained_age >= 0.0:
-            # Ages count from when the peer was asked, as it spoke after that. Counted
-            # from their arrival, the return of the store moved on with each view that
-            # gateways exchanged, and with it the time for which records that go are
-            # believed to come back.
+            # Ages count from the time of the request, which precedes the peer's answer.
+            # Counted from the arrival of the answer, the recovery of the store would
+            # move to a later time with each exchange of views, and extend the time for
+            # which removed records are retained.
             self._state.lapses.mark_store_recovered(requested_at - view.regained_age)
         merge_topic_view(self._catalog, view.catalog, source)
         merge_topic_view(self._instances, view.instances, source)
@@ -189,14 +190,14 @@
             self._state.newer_view.wait(_CHECK_INTERVAL_S)
             self._state.newer_view.clear()
             merged = self._run_guarded(self.catch_up)
-            # After what peers know, which costs no call of the store.
+            # Fetching from peers comes first, as it needs no call of the store.
             self._run_guarded(self._refresher.check)
             self._duty.reads_store()
             if merged is False:
                 stopped.wait(_STORE_ANSWER_WAIT_S)
 
     def _run_guarded(self, action):
-        """Do something now; what goes wrong must not end this thread."""
+        """Run an action; an exception is logged and must not end this thread."""
         try:
             return action(self._state.clock())
         except Exception as exc:
@@ -204,9 +205,9 @@
             return False
 
     def catch_up(self, now):
-        """Take a newer view where there is one; return whether it could be had.
+        """Fetch a newer view if a peer has one; return whether it succeeded.
 
-        None where nothing was tried.
+        Return None if nothing was fetched.
         """
         peer = self.find_newer_peer(now)
         if peer is None:
@@ -217,7 +218,7 @@
         behind = now - self._behind_since
         if behind > _MAX_BEHIND_S:
             self._duty.read_store_temporarily(now)
-        # The store's own answer is usually a moment away.
+        # The store usually answers within this delay.
         delay = _STORE_ANSWER_WAIT_S if self._duty.reads_store() else 0.0
         if behind < delay:
             return None
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -1,4 +1,4 @@
-"""Taking records of the store into the gateway's view of the world."""
+"""Application of the store's records to the state of the gateway."""
 
 import threading
 
@@ -11,34 +11,34 @@
 from ..quarantine.records import decode_record
 from .directory import Noted, is_stale_record
 
-# Keys with bad records that are known, and the characters of a line's texts: anybody
-# may write there.
+# Bounds on the keys with bad records and on logged texts, as the topics are writable by
+# any client.
 _MAX_BAD_KEY_COUNT = 1_000
 _MAX_TEXT_CHARS = 120
 _MAX_VERSION_COUNT = 256
-# The rank of a configuration that cannot be decoded.
+# Rank of a configuration that cannot be decoded.
 _UNDECODABLE_RANK = -1
 
 
 class ViewKeeper:
-    """Applies records; what cannot be decoded is counted and changes nothing."""
+    """Applies records; undecodable ones are counted and do not change the view."""
 
     def __init__(self, state, adapter):
         self._state = state
         self._adapter = adapter
-        # Bytes and `catalog.Catalog` of the configuration decoded last.
+        # Bytes and `catalog.Catalog` of the last decoded configuration.
         self._last_decoded = (None, None)
-        # Versions by the digest of a configuration's bytes.
+        # Versions of configurations by the digest of their bytes.
         self._versions = {}
-        # Keys whose newest record cannot be used.
+        # Keys whose newest record is invalid.
         self._bad_keys = set()
-        # The id of the life that a key of the instances topic stands for.
+        # The id of the current incarnation by key of the instances topic.
         self._ids_by_key = {}
-        # Records come from the store's reader and from peers; timers end lapses.
+        # Records come from the store and from peers; timers end retentions.
         self._lock = threading.Lock()
 
     def apply_catalog(self, entry):
-        """Take in a record of the configuration topic."""
+        """Apply a record of the configuration topic."""
         domain = self._adapter.find_evacuated(entry.key)
         if domain is not None:
             self._apply_evacuation(domain, entry)
@@ -68,15 +68,16 @@
         )
 
     def rank_catalog(self, entry):
-        """Return the version that decides between configurations, None for other keys.
+        """Return the version of a configuration as its rank, None for other keys.
 
-        One that cannot be decoded ranks below all that can.
+        An undecodable configuration ranks below all others.
         """
         if entry.key != self._adapter.catalog_key:
             return None
         if entry.value is None:
             return _UNDECODABLE_RANK
-        # Known records are compared with each new one; decoding takes milliseconds.
+        # Known records are ranked again for each new one, and decoding takes
+        # milliseconds.
         digest = xxhash.xxh64_intdigest(entry.value)
         if digest not in self._versions:
             self._versions[digest] = self._read_version(entry.value)
@@ -91,7 +92,7 @@
             return _UNDECODABLE_RANK
 
     def _decode_catalog(self, value):
-        """Decode a configuration; the last one, asked for several times, is kept."""
+        """Decode a configuration; the last one is cached for repeated use."""
         known, catalog = self._last_decoded
         if known != value:
             catalog = self._adapter.decode_catalog(value)
@@ -99,7 +100,7 @@
         return catalog
 
     def record_catalog_offset(self, offset):
-        """Note that the configuration topic is known up to ``offset``."""
+        """Record the offset up to which the configuration topic is known."""
         self._state.catalog_offset = offset
         self._state.catalog_known = True
 
@@ -112,15 +113,15 @@
                 )
             return
         if domain in state.evacuations.domains:
-            # First, as its instances get work again once the evacuation is over.
+            # Before the end, as its instances get requests again from then on.
             self._warm_up_domain(domain)
             state.evacuations.end(domain)
             state.log.note("evacuation over", evacuated=domain, offset=entry.offset)
 
     def _warm_up_domain(self, domain):
-        """Take every instance of a domain for warming until its record says else.
+        """Start a warm-up of every instance of a domain until its next record.
 
-        Nothing was sent there for a while, and all gateways come back at once.
+        The instances got no requests for a while, and all gateways resume at once.
         """
         state = self._state
         now = state.clock()
@@ -152,13 +153,13 @@
             )
 
     def end_warm_ups(self):
-        """Note which instances have warmed up."""
+        """End and log the warm-ups whose time is over."""
         with self._lock:
             for instance_id in self._state.slow_start.take_ended(self._state.clock()):
                 self._state.log.note("upstream warm", upstream=instance_id)
 
     def apply_instance(self, entry):
-        """Take in a record of the instances topic."""
+        """Apply a record of the instances topic."""
         with self._lock:
             if entry.value is None:
                 self._remove(entry)
@@ -166,7 +167,7 @@
                 self._put(entry)
 
     def remove_expired(self):
-        """Drop instances whose records did not come back in time."""
+        """Remove instances whose records were not renewed in time."""
         with self._lock:
             for instance_id in self._state.lapses.pop_expired(self._state.clock()):
                 old = self._state.directory.remove(instance_id)
@@ -215,7 +216,7 @@
             )
             return
         if earlier is not None and earlier.id != instance.id:
-            # It holds and knows nothing of before.
+            # The new incarnation has no caches or requests of the earlier one.
             state.lapses.stop_retaining(earlier.id)
             self._remove_instance(earlier, entry.offset, "upstream restarted")
         self._ids_by_key[entry.key] = instance.id
@@ -223,7 +224,7 @@
         was_retained = state.lapses.stop_retaining(instance.id)
         if _is_unchanged(old, instance) and not was_retained:
             return
-        # Before any request can be sent there.
+        # Before the instance is in the directory and can get requests.
         now = state.clock()
         if instance.warming > 0.0:
             self._start_warm_up(instance, instance.warming, "record", now)
@@ -242,9 +243,9 @@
             )
 
     def _remove_invalid(self, entry):
-        """Send nothing more to an instance whose record another writer has spoilt.
+        """Remove an instance whose record was replaced by an invalid one.
 
-        What runs there ends; a sound record brings it back.
+        Its active requests continue to their end. A valid record adds it again.
         """
         known = self._find_instance(entry.key)
         if known is not None:
@@ -252,7 +253,7 @@
             self._remove_instance(known, entry.offset, "upstream record spoilt")
 
     def apply_member(self, entry):
-        """Take in a record of the members topic: where a gateway listens."""
+        """Apply a record of the members topic, which has the address of a gateway."""
         if entry.key == self._state.cfg.host:
             self._state.member_record = entry.value
         if entry.value is None:
@@ -266,7 +267,7 @@
         self._state.members.add(member)
 
     def apply_quarantine(self, entry):
-        """Take in a record of the quarantine topic, or its end."""
+        """Apply a record of the quarantine topic, or its removal."""
         try:
             fingerprint = parse_fingerprint(entry.key)
             record = None if entry.value is None else decode_record(entry.value)
@@ -278,21 +279,21 @@
         )
 
     def record_quarantine_offset(self, offset):
-        """Note that every quarantine written before ``offset`` is known."""
+        """Record the offset up to which quarantines are known."""
         self._state.quarantine_known = True
         self._state.quarantine_offset = offset
 
     def record_directory_offset(self, offset):
-        """Note that every instance known before ``offset`` has been taken in."""
+        """Record the offset up to which instances are known."""
         self._state.directory_known = True
         self._state.directory_offset = offset
 
     def mark_members_known(self, offset):
-        """Note that every gateway in the store's list is known."""
+        """Mark all gateways in the store's list as known."""
         self._state.members_known = True
 
     def _find_instance(self, key):
-        """Return the instance that a key of the instances topic stands for, or None."""
+        """Return the current instance of a key of the instances topic, or None."""
         instance_id = self._ids_by_key.get(key)
         return self._state.directory.by_id.get(instance_id)
 
@@ -310,7 +311,7 @@
         state.log.note(event, upstream=instance.id, offset=offset)
 
     def _count_bad_record(self, record_key, offset, exc):
-        """Count a record that cannot be used, with one line until it is sound again."""
+        """Count an invalid record; log only the first until the key is valid again."""
         self._state.bad_records += 1
         if record_key in self._bad_keys or len(self._bad_keys) >= _MAX_BAD_KEY_COUNT:
             return
@@ -331,5 +332,5 @@
 
 
 def _is_unchanged(old, instance):
-    """Return whether a record says nothing new but that its upstream lives."""
+    """Return whether a record differs from the known one only in its sequence."""
     return old is not None and old._replace(sequence=instance.sequence) == instance
