--- a/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
@@ -83,7 +83,7 @@
         is_wanted=lambda: True,
         on_complete=lambda topic, as_of: None,
         on_recovered=lambda now: None,
-        on_update=lambda topic, taken: None,
+        on_update=lambda topic, update: None,
         get_stall_seconds=lambda: 0.0,
         wait_until_wanted=lambda stopped: stopped.wait(_IDLE_CHECK_S),
         is_done=lambda: False,
@@ -101,7 +101,7 @@
         self._next_offset = None
         self._lock = threading.RLock()
         self._retry_delay = _FIRST_RETRY_DELAY_S
-        self._available = None
+        self._is_available = None
         # The current or last call of the follower's own thread.
         self._call = None
         self._is_call_active = False
@@ -123,11 +123,11 @@
             if not self._is_wanted():
                 self._wait_until_wanted(stopped)
                 continue
-            before = self.end
+            previous_end = self.end
             if not self.follow_once():
                 stopped.wait(self._retry_delay)
                 self._retry_delay = min(self._retry_delay * 2, _MAX_RETRY_DELAY_S)
-            elif self.end != before:
+            elif self.end != previous_end:
                 # Changes come in series, so a short delay collects several per call.
                 stopped.wait(_BATCHING_DELAY_S)
 
@@ -211,7 +211,7 @@
     @property
     def is_away(self):
         """Return whether the last call of the store failed."""
-        return self._available is False
+        return self._is_available is False
 
     @property
     def topic(self):
@@ -390,20 +390,20 @@
             unapplied = self._records.get_unapplied()
             merge(update)
             self._records.retry_unapplied(unapplied)
-            taken = Taken(begin, self.end, source, is_listing, self._clock())
-            self._on_update(self._topic, taken)
+            view_update = Taken(begin, self.end, source, is_listing, self._clock())
+            self._on_update(self._topic, view_update)
             self._on_merged(self.end)
 
-    def _set_available(self, available, why):
-        if available == self._available:
+    def _set_available(self, is_available, why):
+        if is_available == self._is_available:
             return
-        self._available = available
-        event = "store regained" if available else "store lost"
+        self._is_available = is_available
+        event = "store regained" if is_available else "store lost"
         age = (
             None
             if self._answered_at is None
             else round(self._clock() - self._answered_at, 3)
         )
         self._log.note(
-            event, failed=not available, topic=self._topic, why=why, view_age_s=age
+            event, failed=not is_available, topic=self._topic, why=why, view_age_s=age
         )
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/publishing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/publishing.py
@@ -50,7 +50,7 @@
         return f"{cfg.domain} {self._address} {cfg.processor.capacity:g}".encode()
 
     def _wait_for_listing(self, stopped):
-        end = self._state.clock() + _LISTING_TIMEOUT_S
-        while self._state.clock() < end and not self._state.members_known:
+        deadline = self._state.clock() + _LISTING_TIMEOUT_S
+        while self._state.clock() < deadline and not self._state.members_known:
             if stopped.wait(_LISTING_CHECK_S):
                 return
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/topics.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/topics.py
@@ -109,8 +109,8 @@
 
     def get_listing(self):
         """Return all known records as a `Listing`."""
-        kept = [e for e in self._entries.values() if e.value is not None]
-        return Listing(kept, self.end)
+        present = [e for e in self._entries.values() if e.value is not None]
+        return Listing(present, self.end)
 
     def get_batch(self, offset):
         """Return a `Batch` of the changes from ``offset`` on, None if unknown."""
@@ -128,8 +128,8 @@
         listed = {entry.key for entry in listing.entries}
         for entry in listing.entries:
             self._merge(entry)
-        kept = {e.key for e in self._entries.values() if e.value is not None}
-        for key in kept - listed:
+        present = {e.key for e in self._entries.values() if e.value is not None}
+        for key in present - listed:
             # The key was removed between two reads.
             self._merge(Entry(key, None, listing.end - 1))
         if listing.end > self.end:
@@ -173,10 +173,10 @@
         """
         if entry.offset <= known.offset:
             return
-        moved = known._replace(offset=entry.offset)
-        self._entries[entry.key] = moved
+        updated = known._replace(offset=entry.offset)
+        self._entries[entry.key] = updated
         if self._unapplied.get(entry.key) is known:
-            self._unapplied[entry.key] = moved
+            self._unapplied[entry.key] = updated
         else:
             # Applying the outranked record changes nothing, and logs the reason.
             self._apply_or_keep(entry)
