--- a/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
@@ -26,9 +26,9 @@
     duty : store_readers.StoreDuty
     """
 
-    def __init__(self, state, followers, duty):
+    def __init__(self, state, followers, read_policy):
         self._state = state
-        self._duty = duty
+        self._duty = read_policy
         self._followers = (
             followers.catalog,
             followers.instances,
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
@@ -100,13 +100,13 @@
     refresher : refreshing.Refresher
     """
 
-    def __init__(self, state, followers, port, duty, refresher):
+    def __init__(self, state, followers, port, read_policy, refresher):
         self._state = state
         self._catalog = followers.catalog
         self._instances = followers.instances
         self._quarantine = followers.quarantine
         self._port = port
-        self._duty = duty
+        self._duty = read_policy
         self._refresher = refresher
         self._behind_since = None
         self._pool = urllib3.PoolManager(num_pools=1, maxsize=1, retries=False)
