--- a/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
@@ -136,7 +136,7 @@
         return sum(not row.ready for row in list(self.by_id.values()))
 
     def get_noted(self, instance_id):
-        """Return the `Noted` position of the last record of an instance, or None."""
+        """Return the `Noted` of the last record of an instance, or None."""
         return self._records.get(instance_id)
 
     def get_id(self, digest):
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
@@ -22,8 +22,8 @@
 
     Parameters
     ----------
-    followers : following.Followers
-    duty : store_readers.StoreDuty
+    followers : `following.Followers`
+    read_policy : `store_readers.StoreDuty`
     """
 
     def __init__(self, state, followers, read_policy):
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
@@ -92,12 +92,12 @@
 
     Parameters
     ----------
-    followers : following.Followers
+    followers : `following.Followers`
     port : int
         Port of the fleet's HTTP interface, which is the same for all gateways.
-    duty : store_readers.StoreDuty
+    read_policy : `store_readers.StoreDuty`
         Made to read the store if peers do not deliver their view in time.
-    refresher : refreshing.Refresher
+    refresher : `refreshing.Refresher`
     """
 
     def __init__(self, state, followers, port, read_policy, refresher):
