--- a/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
@@ -237,11 +237,11 @@
         with self._lock:
             return self._records.get_batch(offset)
 
-    def merge_listing(self, listing, source="peer"):
+    def adopt(self, listing, source="peer"):
         """Merge a listing of a peer; records older than the known ones are ignored."""
         self._merge(self._records.merge_listing, listing, source, True)
 
-    def merge_batch(self, batch, source="peer"):
+    def adopt_batch(self, batch, source="peer"):
         """Merge changes since our end offset that a peer has sent."""
         self._merge(self._records.merge_batch, batch, source, False)
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
@@ -82,9 +82,9 @@
     """Merge a `TopicView` from the peer ``source`` into a follower."""
     entries = [Entry(*row) for row in view.entries]
     if view.is_whole:
-        follower.merge_listing(Listing(entries, view.end), source)
+        follower.adopt(Listing(entries, view.end), source)
     else:
-        follower.merge_batch(Batch(entries, view.end), source)
+        follower.adopt_batch(Batch(entries, view.end), source)
 
 
 class ViewSync:
