--- a/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
@@ -1,4 +1,4 @@
-"""Keeping up with a topic of the platform's store."""
+"""Continuous reading of a topic of the platform's store."""
 
 import threading
 from typing import NamedTuple
@@ -7,64 +7,65 @@
 
 from ..stores import HistoryExpired, Unanswered
 from ..view_source import STORE, Taken
-from .topics import TopicRecords, restore_highest
+from .topics import TopicRecords, restore_highest_ranked
 
-_FIRST_PAUSE = 0.1
-_MAX_PAUSE = 1.0
+_FIRST_RETRY_DELAY_S = 0.1
+_MAX_RETRY_DELAY_S = 1.0
 _IDLE_CHECK_S = 0.15
-_SERIES_PAUSE = 0.2
-# Records before the newest one of a ranked key in which a higher one may stand: many
-# more than are written while a lost answer is waited for.
-_HISTORY_RECORDS = 32
-# Characters of a key on a line of the log.
-_MAX_KEY = 120
-# Seconds beyond a call's own wait after which the store counts as having been
-# away: a hundred times its usual answer of some milliseconds.
-_LATE_ANSWER = 0.5
-# Seconds beyond a call's own wait after which its answer counts as overdue: what a slow
-# store takes.
-_OVERDUE = 0.3
-
-
-class Asked(NamedTuple):
-    """A call under way.
-
-    ``at`` is when it began, ``wait`` how long the store may keep it, in seconds, and
-    ``stalled`` for how long this process had been paused until then.
+_BATCHING_DELAY_S = 0.2
+# Number of records before the newest one of a ranked key that are searched for a higher
+# one. Far fewer are written while a writer waits for a lost answer.
+_MAX_HISTORY_RECORDS = 32
+_MAX_LOGGED_KEY_CHARS = 120
+# An answer that is later than this, beyond the requested wait, means that the store was
+# unavailable: the store usually answers within some milliseconds, a hundredth of this.
+_LATE_ANSWER_S = 0.5
+# An answer is overdue after this time beyond the requested wait, which is the answer
+# time of a slow store.
+_OVERDUE_S = 0.3
+
+
+class StoreCall(NamedTuple):
+    """A call of the store.
+
+    ``started_at`` is the time of its start, ``wait`` the time in seconds for which the
+    store may delay the answer, and ``stalled`` the total time in seconds for which this
+    process had been paused before the start.
     """
 
-    at: float
+    started_at: float
     wait: float
     stalled: float
 
 
 class TopicFollower:
-    """Keeps up with a keyed topic: lists it, then waits for records.
+    """Follows a keyed topic: lists it once, then waits for new records.
 
     Parameters
     ----------
     apply : callable
-        Called with each `Entry` that is newer than what was known of its key.
-    on_listed : callable
-        Called with the end offset after each listing or batch has been applied.
+        Called with each `Entry` that is newer than the known one of its key.
+    on_merged : callable
+        Called with the end offset after each merged listing or batch.
     poll : callable
-        Returns how long a call waits for a record, in seconds.
+        Returns for how many seconds a call waits for a record.
     is_wanted : callable
-        Returns whether to read now; a gateway that takes its view from a peer
-        reads nothing itself.
-    on_heard : callable
-        Called with the topic and the time as of which it is known whole, after what
-        the store answered has been applied.
-    on_regained : callable
-        Called with the time when the store answers after it was away, before
-        what it answered is applied.
-    get_stalled : callable
-        Returns for how many seconds this process has been paused so far.
-    wait_wanted : callable
-        Called with ``stopped`` while not wanted; returns after a while at most.
+        Returns whether to read now; a gateway that gets its view from a peer does not
+        read the store.
+    on_complete : callable
+        Called with the topic and the time as of which the view of it is complete,
+        after an answer of the store has been applied.
+    on_recovered : callable
+        Called with the current time when the store answers after an outage, before the
+        answer is applied.
+    get_stall_seconds : callable
+        Returns the total time in seconds for which this process has been paused.
+    wait_until_wanted : callable
+        Called with ``stopped`` while reading is not wanted; returns after a bounded
+        time.
     is_done : callable
-        Returns whether the topic need not be read any more.
-    on_taken : callable
+        Returns whether the topic no longer has to be read.
+    on_update : callable
         Called with the topic and the `view_source.Taken` of each listing or batch.
     rank : callable
         As for `topics.TopicRecords`.
@@ -75,63 +76,63 @@
         store,
         topic,
         apply,
-        on_listed,
+        on_merged,
         log,
         poll,
         clock,
         is_wanted=lambda: True,
-        on_heard=lambda topic, as_of: None,
-        on_regained=lambda now: None,
-        on_taken=lambda topic, taken: None,
-        get_stalled=lambda: 0.0,
-        wait_wanted=lambda stopped: stopped.wait(_IDLE_CHECK_S),
+        on_complete=lambda topic, as_of: None,
+        on_recovered=lambda now: None,
+        on_update=lambda topic, update: None,
+        get_stall_seconds=lambda: 0.0,
+        wait_until_wanted=lambda stopped: stopped.wait(_IDLE_CHECK_S),
         is_done=lambda: False,
         rank=lambda entry: None,
     ):
         self._store = store
         self._topic = topic
         self._rank = rank
-        self._records = TopicRecords(apply, self._note_unapplied, rank)
-        self._on_listed = on_listed
+        self._records = TopicRecords(apply, self._log_unapplied, rank)
+        self._on_merged = on_merged
         self._log = log
         self._poll = poll
         self._clock = clock
         self._is_wanted = is_wanted
-        self._next = None
+        self._next_offset = None
         self._lock = threading.RLock()
-        self._pause = _FIRST_PAUSE
-        self._available = None
-        # The call that the follower's own thread makes now, or made last.
-        self._asked = None
-        self._is_calling = False
-        self._was_away = False
-        # Calls in a row that their own limit ended.
-        self._unanswered = 0
-        self.heard = None
-        self._whole_at = None
-        self._on_heard = on_heard
-        self._on_regained = on_regained
-        self._on_taken = on_taken
-        self._get_stalled = get_stalled
-        self._wait_wanted = wait_wanted
+        self._retry_delay = _FIRST_RETRY_DELAY_S
+        self._is_available = None
+        # The current or last call of the follower's own thread.
+        self._call = None
+        self._is_call_active = False
+        self._was_unavailable = False
+        # Number of consecutive calls that timed out.
+        self._timeout_count = 0
+        self._answered_at = None
+        self._complete_at = None
+        self._on_complete = on_complete
+        self._on_recovered = on_recovered
+        self._on_update = on_update
+        self._get_stall_seconds = get_stall_seconds
+        self._wait_until_wanted = wait_until_wanted
         self._is_done = is_done
 
     def run(self, stopped):
-        """Follow until ``stopped`` is set or it is done; the body of a thread."""
+        """Follow until ``stopped`` is set or `is_done` returns true; a thread body."""
         while not stopped.is_set() and not self._is_done():
             if not self._is_wanted():
-                self._wait_wanted(stopped)
+                self._wait_until_wanted(stopped)
                 continue
-            before = self.end
+            previous_end = self.end
             if not self.follow_once():
-                stopped.wait(self._pause)
-                self._pause = min(self._pause * 2, _MAX_PAUSE)
-            elif self.end != before:
-                # Changes come in series; one call then brings several.
-                stopped.wait(_SERIES_PAUSE)
+                stopped.wait(self._retry_delay)
+                self._retry_delay = min(self._retry_delay * 2, _MAX_RETRY_DELAY_S)
+            elif self.end != previous_end:
+                # Changes come in series, so a short delay collects several per call.
+                stopped.wait(_BATCHING_DELAY_S)
 
     def start(self, stopped):
-        """Follow in a thread of its own."""
+        """Follow in a separate thread."""
         threading.Thread(
             target=self.run, args=(stopped,), name=f"follow-{self._topic}", daemon=True
         ).start()
@@ -139,73 +140,78 @@
     def follow_once(self):
         """Make one call; return whether it succeeded."""
         try:
-            if self._next is None:
+            if self._next_offset is None:
                 self._list()
             else:
                 self._read()
         except HistoryExpired:
-            self._log.note("history expired", topic=self._topic, offset=self._next)
-            self._next = None
+            self._log.note(
+                "history expired", topic=self._topic, offset=self._next_offset
+            )
+            self._next_offset = None
         except Unanswered as exc:
-            self._note_unanswered(str(exc))
+            self._record_timeout(str(exc))
             return False
         except PlatformUnavailable as exc:
-            self._note_away(self._asked, str(exc))
+            self._mark_unavailable(self._call, str(exc))
             return False
         except Exception as exc:
-            # A record that nobody foresaw must not end the following of others.
+            # An unexpected record must not end the following of the topic.
             self._log.note(
                 "following failed", failed=True, topic=self._topic, why=repr(exc)
             )
             return False
         finally:
-            self._is_calling = False
-        self._pause = _FIRST_PAUSE
-        self._unanswered = 0
+            self._is_call_active = False
+        self._retry_delay = _FIRST_RETRY_DELAY_S
+        self._timeout_count = 0
         self._set_available(True, "")
         return True
 
     def refresh(self):
-        """Read what is new on a connection of its own; return whether it could be had.
+        """Read new records on a new connection; return whether the store answered.
 
-        May be called while the follower's own call waits: that one cannot tell a quiet
-        store from a connection that nothing passes any more.
+        This may be called while the follower's own call waits, because that call cannot
+        distinguish a store without new records from a dead connection.
         """
-        asked = self._make_asked(0.0)
+        call = self._create_call(0.0)
         try:
-            self._read_anew(asked)
+            self._read_on_new_connection(call)
         except PlatformUnavailable as exc:
-            self._note_away(asked, str(exc))
+            self._mark_unavailable(call, str(exc))
             return False
         self._set_available(True, "")
         return True
 
-    def note_outage(self):
-        """Note that the store is away, as another topic's new call has shown."""
-        self._was_away = True
+    def mark_outage(self):
+        """Mark the store as unavailable after a failed call for another topic."""
+        self._was_unavailable = True
 
     def is_waiting(self, now, seconds):
-        """Return whether the follower's own call has lasted for longer than that."""
-        return self._is_calling and now - self._asked.at > seconds
+        """Return whether the follower's own call has lasted longer than ``seconds``."""
+        return self._is_call_active and now - self._call.started_at > seconds
 
     def is_overdue(self, now):
-        """Return whether the answer to the follower's own call should have come."""
-        return self._is_calling and now - self._asked.at > self._asked.wait + _OVERDUE
+        """Return whether the answer to the follower's own call is overdue."""
+        return (
+            self._is_call_active
+            and now - self._call.started_at > self._call.wait + _OVERDUE_S
+        )
 
     @property
     def unapplied(self):
-        """Return how many records could not be applied yet."""
+        """Return the number of records that could not be applied yet."""
         return len(self._records.get_unapplied())
 
-    def apply_again(self):
-        """Try once more what could not be applied."""
+    def retry_unapplied(self):
+        """Retry the records that could not be applied."""
         with self._lock:
-            self._records.apply_again(self._records.get_unapplied())
+            self._records.retry_unapplied(self._records.get_unapplied())
 
     @property
     def is_away(self):
-        """Return whether the store did not answer the last call."""
-        return self._available is False
+        """Return whether the last call of the store failed."""
+        return self._is_available is False
 
     @property
     def topic(self):
@@ -213,84 +219,84 @@
         return self._topic
 
     def get_age(self, now):
-        """Return how long ago the topic was whole by the store's answers, or None."""
-        return None if self._whole_at is None else max(0.0, now - self._whole_at)
+        """Return the seconds since the topic was complete by an answer, or None."""
+        return None if self._complete_at is None else max(0.0, now - self._complete_at)
 
     @property
     def end(self):
-        """Return the offset up to which the topic is known whole."""
+        """Return the offset up to which all records of the topic are known."""
         return self._records.end
 
     def get_listing(self):
-        """Return what is known as a `Listing`, for a peer."""
+        """Return all known records as a `Listing` for a peer."""
         with self._lock:
             return self._records.get_listing()
 
     def get_batch(self, offset):
-        """Return a `Batch` of what changed from ``offset`` on, None if not known."""
+        """Return a `Batch` of the changes from ``offset`` on, None if unknown."""
         with self._lock:
             return self._records.get_batch(offset)
 
     def adopt(self, listing, source="peer"):
-        """Take in a peer's listing; older records than ours change nothing."""
-        self._take(self._records.take_listing, listing, source, True)
+        """Merge a listing of a peer; records older than the known ones are ignored."""
+        self._merge(self._records.merge_listing, listing, source, True)
 
     def adopt_batch(self, batch, source="peer"):
-        """Take in what a peer says has changed since our end."""
-        self._take(self._records.take_batch, batch, source, False)
+        """Merge changes since our end offset that a peer has sent."""
+        self._merge(self._records.merge_batch, batch, source, False)
 
     def _list(self):
-        asked = self._begin_call(0.0)
+        call = self._begin_call(0.0)
         listing = self._get_listing()
-        self._note_answer(asked)
-        self._take(self._records.take_listing, listing, STORE, True)
-        self._next = listing.end
-        self._note_heard(asked.at)
+        self._record_answer(call)
+        self._merge(self._records.merge_listing, listing, STORE, True)
+        self._next_offset = listing.end
+        self._mark_complete(call.started_at)
 
     def _read(self):
-        # What a peer has told meanwhile need not be read again.
-        start = self._next = max(self._next, self.end)
-        asked = self._begin_call(self._poll())
+        # Records that a peer has sent meanwhile are not read again.
+        start = self._next_offset = max(self._next_offset, self.end)
+        call = self._begin_call(self._poll())
         try:
-            batch = self._store.read(self._topic, start, asked.wait)
+            batch = self._store.read(self._topic, start, call.wait)
         except HistoryExpired:
-            self._note_answer(asked)
+            self._record_answer(call)
             raise
-        self._note_answer(asked)
-        self._take(self._records.take_batch, batch, STORE, False)
-        self._next = batch.end
-        # The store answers without a record only once it has waited for one.
-        waited = 0.0 if batch.entries else asked.wait
+        self._record_answer(call)
+        self._merge(self._records.merge_batch, batch, STORE, False)
+        self._next_offset = batch.end
+        # An answer without records is sent only after the requested wait.
+        waited = 0.0 if batch.entries else call.wait
         if batch.is_whole:
-            self._note_heard(min(asked.at + waited, self._clock()))
+            self._mark_complete(min(call.started_at + waited, self._clock()))
 
-    def _read_anew(self, asked):
+    def _read_on_new_connection(self, call):
         try:
-            batch = self._store.read(self._topic, self.end, asked.wait, anew=True)
+            batch = self._store.read(self._topic, self.end, call.wait, anew=True)
         except HistoryExpired:
             listing = self._get_listing(anew=True)
-            self._note_answer(asked)
-            self._take(self._records.take_listing, listing, STORE, True)
+            self._record_answer(call)
+            self._merge(self._records.merge_listing, listing, STORE, True)
         else:
-            self._note_answer(asked)
-            self._take(self._records.take_batch, batch, STORE, False)
+            self._record_answer(call)
+            self._merge(self._records.merge_batch, batch, STORE, False)
             if not batch.is_whole:
                 return
-        self._note_heard(asked.at)
+        self._mark_complete(call.started_at)
 
     def _get_listing(self, anew=False):
-        """List the topic, with ranked keys as high as its history knows them."""
+        """List the topic, with the highest record of its history for ranked keys."""
         listing = self._store.list_newest(self._topic, anew)
         ranked = [row for row in listing.entries if self._rank(row) is not None]
         history = []
         for entry in ranked:
             history += self._read_history(entry.offset, anew)
-        return restore_highest(listing, history, self._rank)
+        return restore_highest_ranked(listing, history, self._rank)
 
     def _read_history(self, end, anew):
-        """Return the last records before an offset, as far as they are kept."""
-        rows = []
-        start = max(0, end - _HISTORY_RECORDS)
+        """Return the last records before an offset that the store still has."""
+        entries = []
+        start = max(0, end - _MAX_HISTORY_RECORDS)
         while start < end:
             try:
                 batch = self._store.read(self._topic, start, 0.0, anew)
@@ -299,43 +305,44 @@
                     break
                 start = exc.first
                 continue
-            rows += batch.entries
+            entries += batch.entries
             if batch.end <= start:
                 break
             start = batch.end
-        return rows
+        return entries
 
     def _begin_call(self, wait):
-        self._asked = self._make_asked(wait)
-        self._is_calling = True
-        return self._asked
+        self._call = self._create_call(wait)
+        self._is_call_active = True
+        return self._call
 
-    def _make_asked(self, wait):
-        return Asked(self._clock(), wait, self._get_stalled())
+    def _create_call(self, wait):
+        return StoreCall(self._clock(), wait, self._get_stall_seconds())
 
-    def _note_heard(self, as_of):
-        self.heard = self._clock()
+    def _mark_complete(self, as_of):
+        self._answered_at = self._clock()
         if self.unapplied:
             return
-        self._whole_at = as_of
-        self._on_heard(self._topic, as_of)
+        self._complete_at = as_of
+        self._on_complete(self._topic, as_of)
 
-    def _note_unapplied(self, entry, exc):
+    def _log_unapplied(self, entry, exc):
         self._log.note(
             "record not applied",
             failed=True,
             topic=self._topic,
-            key=entry.key[:_MAX_KEY],
+            key=entry.key[:_MAX_LOGGED_KEY_CHARS],
             offset=entry.offset,
             why=repr(exc),
         )
 
-    def _note_unanswered(self, why):
-        """Tell of a call that its own limit ended.
+    def _record_timeout(self, why):
+        """Log a call that timed out.
 
-        It may only have lost its connection, and the next call has a new one: an outage
-        shows itself to that, or to calls made anew as the view grew old. Taken for one,
-        the silence would keep upstreams that left in use for two seconds more.
+        A single timeout may be a lost connection and does not count as an outage. An
+        outage shows at the next call, which has a new connection, or at a refresh of
+        the aging view. Counting the timeout as an outage would keep upstreams that have
+        left in use for two more seconds.
         """
         now = self._clock()
         age = self.get_age(now)
@@ -343,55 +350,60 @@
             "store call unanswered",
             failed=True,
             topic=self._topic,
-            waited_s=round(now - self._asked.at, 3),
-            allowed_s=round(self._asked.wait, 3),
+            waited_s=round(now - self._call.started_at, 3),
+            allowed_s=round(self._call.wait, 3),
             topic_age_s=None if age is None else round(age, 3),
         )
-        self._unanswered += 1
-        if self._unanswered > 1:
-            self._note_away(self._asked, why)
-
-    def _note_away(self, asked, why):
-        """Note that the store is away, unless this process had no time to hear it."""
-        if self._get_stalled() - asked.stalled <= _LATE_ANSWER:
-            self._was_away = True
+        self._timeout_count += 1
+        if self._timeout_count > 1:
+            self._mark_unavailable(self._call, why)
+
+    def _mark_unavailable(self, call, why):
+        """Mark the store as unavailable, unless this process was paused meanwhile."""
+        if self._get_stall_seconds() - call.stalled <= _LATE_ANSWER_S:
+            self._was_unavailable = True
         self._set_available(False, why)
 
-    def _note_answer(self, asked):
-        """Tell where this answer ends a time in which the store was away."""
+    def _record_answer(self, call):
+        """Log a late answer, and report a recovery if it ends an outage."""
         now = self._clock()
-        stalled = self._get_stalled() - asked.stalled
-        late = now - asked.at - asked.wait
-        if late > _LATE_ANSWER:
+        stalled = self._get_stall_seconds() - call.stalled
+        late = now - call.started_at - call.wait
+        if late > _LATE_ANSWER_S:
             self._log.note(
                 "store answered late",
                 topic=self._topic,
                 late_s=round(late, 3),
                 stalled_s=round(stalled, 3),
             )
-        # An answer that lay here unread is no outage: an upstream whose record went
-        # meanwhile has left, and would get work for two seconds more.
-        if self._was_away or late - stalled > _LATE_ANSWER:
-            self._on_regained(now)
-        self._was_away = False
-
-    def _take(self, take, told, source, is_listing):
-        """Take in what was told, by the `TopicRecords` method ``take``."""
+        # A late answer is no outage if this process was paused before reading it. An
+        # upstream whose record was removed meanwhile has left, and would otherwise get
+        # requests for two more seconds.
+        if self._was_unavailable or late - stalled > _LATE_ANSWER_S:
+            self._on_recovered(now)
+        self._was_unavailable = False
+
+    def _merge(self, merge, update, source, is_listing):
+        """Merge an update with ``merge``, a method of `TopicRecords`."""
         with self._lock:
             begin = self.end
             unapplied = self._records.get_unapplied()
-            take(told)
-            self._records.apply_again(unapplied)
-            taken = Taken(begin, self.end, source, is_listing, self._clock())
-            self._on_taken(self._topic, taken)
-            self._on_listed(self.end)
-
-    def _set_available(self, available, why):
-        if available == self._available:
+            merge(update)
+            self._records.retry_unapplied(unapplied)
+            view_update = Taken(begin, self.end, source, is_listing, self._clock())
+            self._on_update(self._topic, view_update)
+            self._on_merged(self.end)
+
+    def _set_available(self, is_available, why):
+        if is_available == self._is_available:
             return
-        self._available = available
-        event = "store regained" if available else "store lost"
-        age = None if self.heard is None else round(self._clock() - self.heard, 3)
+        self._is_available = is_available
+        event = "store regained" if is_available else "store lost"
+        age = (
+            None
+            if self._answered_at is None
+            else round(self._clock() - self._answered_at, 3)
+        )
         self._log.note(
-            event, failed=not available, topic=self._topic, why=why, view_age_s=age
+            event, failed=not is_available, topic=self._topic, why=why, view_age_s=age
         )
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/following.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/following.py
@@ -1,4 +1,4 @@
-"""The followers of the store's topics, and what they tell peers that ask."""
+"""The followers of the store's topics, and the view that they serve to peers."""
 
 from typing import NamedTuple
 from urllib.parse import parse_qs
@@ -10,7 +10,7 @@
 
 
 class Followers(NamedTuple):
-    """One follower for each topic of the store."""
+    """One follower per topic of the store."""
 
     catalog: TopicFollower
     instances: TopicFollower
@@ -18,8 +18,8 @@
     members: TopicFollower
 
 
-def create_followers(state, adapter, duty, keeper):
-    """Return the `Followers` that hand their records to a `views.ViewKeeper`."""
+def create_followers(state, adapter, read_policy, updater):
+    """Return the `Followers` whose records a `views.ViewKeeper` applies."""
 
     def ignore(*_):
         pass
@@ -30,12 +30,12 @@
     def follow(
         topic,
         apply,
-        on_listed=ignore,
-        is_wanted=duty.reads_store,
-        on_heard=state.note_store_heard,
-        poll=duty.get_poll,
-        on_regained=state.lapses.note_regained,
-        wait_wanted=duty.wait_reading,
+        on_merged=ignore,
+        is_wanted=read_policy.reads_store,
+        on_complete=state.note_store_heard,
+        poll=read_policy.get_poll,
+        on_recovered=state.lapses.mark_store_recovered,
+        wait_until_wanted=read_policy.wait_until_reading,
         is_done=lambda: False,
         rank=lambda entry: None,
     ):
@@ -43,65 +43,70 @@
             adapter.store,
             topic,
             apply,
-            on_listed,
+            on_merged,
             state.log,
             poll,
             state.clock,
             is_wanted,
-            on_heard,
-            on_regained,
+            on_complete,
+            on_recovered,
             state.note_taken,
             state.stalls.get_total,
-            wait_wanted,
+            wait_until_wanted,
             is_done,
             rank,
         )
 
-    def note_members(offset):
-        keeper.note_members(offset)
-        duty.note_members_read()
+    def mark_members_known(offset):
+        updater.mark_members_known(offset)
+        read_policy.mark_members_read()
 
     return Followers(
         follow(
             adapter.catalog_topic,
-            keeper.apply_catalog,
-            keeper.note_catalog,
-            rank=keeper.rank_catalog,
+            updater.apply_catalog,
+            updater.record_catalog_offset,
+            rank=updater.rank_catalog,
+        ),
+        follow(
+            adapter.instance_topic,
+            updater.apply_instance,
+            updater.record_directory_offset,
         ),
-        follow(adapter.instance_topic, keeper.apply_instance, keeper.note_directory),
         follow(
             adapter.quarantine_topic,
-            keeper.apply_quarantine,
-            keeper.note_quarantine,
-            # How old the view of upstreams is, and whether the store was away, the
-            # other two tell.
-            on_heard=ignore,
+            updater.apply_quarantine,
+            updater.record_quarantine_offset,
+            # The other two topics determine the age of the view and the outages of the
+            # store.
+            on_complete=ignore,
             poll=lambda: state.cfg.store.quarantine_poll,
-            on_regained=ignore,
+            on_recovered=ignore,
         ),
         follow(
             adapter.member_topic,
-            keeper.apply_member,
-            note_members,
-            duty.reads_members,
+            updater.apply_member,
+            mark_members_known,
+            read_policy.should_read_members,
             ignore,
             poll=lambda: 0.0,
-            wait_wanted=lambda stopped: stopped.wait(_MEMBERS_CHECK_S),
-            is_done=duty.has_read_members,
+            wait_until_wanted=lambda stopped: stopped.wait(_MEMBERS_CHECK_S),
+            is_done=read_policy.has_read_members,
         ),
     )
 
 
 def create_view_handler(state, followers):
-    """Return the handler that gives peers this gateway's view, or what changed."""
+    """Return the handler that serves this gateway's view, or its changes, to peers."""
 
     def handle(request, reply):
-        # A peer takes what it is given for all there is.
+        # A peer assumes that the returned view is complete.
         if request.path != VIEW_PATH or not state.knows_all:
             reply.send(404, [], b"")
             return
         now = state.clock()
-        # Before the records: what came meanwhile makes them newer than this says.
+        # Computed before the records are collected. Records that arrive in between
+        # only make the view newer than this age.
         age = state.freshness.get_age(now)
         data = encode_view(
             make_topic_view(followers.catalog, _get_offset(request, "catalog")),
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
@@ -1,8 +1,8 @@
-"""Taking a newer view from a peer that reads the store.
+"""Synchronization of the view with a peer whose view is newer.
 
-In a large fleet only some gateways read the store, and the others take what
-changed from their relay. So does a gateway that the store turns away, or that
-starts while the store is away: reports tell whose view is newer.
+In a large fleet only some gateways read the store, and the others fetch the changes
+from their relay. A gateway that the store rejects, or that starts while the store is
+unavailable, does the same. Reports contain the version of each peer's view.
 """
 
 import operator
@@ -15,48 +15,48 @@
 from .topics import Batch, Entry, Listing
 
 VIEW_PATH = "/fleet/view"
-# At most; a report of a newer view is looked at as it comes.
-_CHECK = 0.15
-_PATIENCE = 0.25
-_TIMEOUT = 0.5
-_MAX_BEHIND = 0.6
-# Below the offset of a topic that is empty.
-_NEVER_READ = -1
+# Maximum time between two checks; a report of a newer view triggers a check at once.
+_CHECK_INTERVAL_S = 0.15
+_STORE_ANSWER_WAIT_S = 0.25
+_TIMEOUT_S = 0.5
+_MAX_BEHIND_S = 0.6
+# Lower than the end offset of an empty topic.
+_NEVER_READ_OFFSET = -1
 
 
 class TopicView(msgspec.Struct, array_like=True, frozen=True):
-    """Records of one topic; ``is_whole`` where it is a listing, no change."""
+    """Records of one topic; ``is_whole`` is true for a listing, false for changes."""
 
     entries: list[tuple[str, bytes | None, int]]
     end: int
     is_whole: bool
 
 
-# No change of a topic.
-NOTHING = TopicView([], 0, False)
+# A topic without changes.
+NO_CHANGE = TopicView([], 0, False)
 
 
 class View(msgspec.Struct, array_like=True, frozen=True):
-    """What a gateway has read from the store, or what changed of it.
+    """A gateway's view of the store, or the changes of it.
 
-    ``regained_age`` is how long ago the store came back after it was away, in
-    seconds, negative for never: records that go soon after may be written again.
-    ``age`` is how long ago the view was whole at the latest, in seconds, negative where
-    that is not known.
+    ``regained_age`` is the time in seconds since the store recovered from an outage,
+    negative if it never did; records removed soon after a recovery may be written
+    again. ``age`` is the time in seconds since the view was last complete, negative if
+    unknown.
     """
 
     catalog: TopicView
     instances: TopicView
     regained_age: float = -1.0
     age: float = -1.0
-    quarantine: TopicView = NOTHING
+    quarantine: TopicView = NO_CHANGE
 
 
 _decoder = msgspec.msgpack.Decoder(View)
 
 
 def make_topic_view(follower, offset):
-    """Return the `TopicView` of what changed from ``offset`` on, 0 for all."""
+    """Return the `TopicView` of the changes from ``offset`` on, 0 for all records."""
     batch = follower.get_batch(offset) if offset else None
     if batch is None:
         listing = follower.get_listing()
@@ -64,22 +64,22 @@
     return TopicView([tuple(entry) for entry in batch.entries], batch.end, False)
 
 
-def encode_view(catalog, instances, regained_age=-1.0, age=-1.0, quarantine=NOTHING):
-    """Return the bytes of a view made of `TopicView`."""
+def encode_view(catalog, instances, regained_age=-1.0, age=-1.0, quarantine=NO_CHANGE):
+    """Return the encoded `View` of these `TopicView`."""
     view = View(catalog, instances, regained_age, age, quarantine)
     return msgspec.msgpack.encode(view)
 
 
 def decode_view(data):
-    """Return the `View` in some bytes, or None."""
+    """Return the decoded `View`, or None if the bytes are malformed."""
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError:
         return None
 
 
-def adopt_view(follower, view, source="peer"):
-    """Let a follower take in a `TopicView` that a peer, ``source``, has given."""
+def merge_topic_view(follower, view, source="peer"):
+    """Merge a `TopicView` from the peer ``source`` into a follower."""
     entries = [Entry(*row) for row in view.entries]
     if view.is_whole:
         follower.adopt(Listing(entries, view.end), source)
@@ -88,113 +88,116 @@
 
 
 class ViewSync:
-    """Asks peers for what changed while their view is newer than ours.
+    """Fetches changes from peers while their view is newer than ours.
 
     Parameters
     ----------
-    followers : following.Followers
+    followers : `following.Followers`
     port : int
-        Port of the fleet's HTTP interface, the same at every gateway.
-    duty : store_readers.StoreDuty
-        Told when peers do not give their view in time.
-    refresher : refreshing.Refresher
+        Port of the fleet's HTTP interface, which is the same for all gateways.
+    read_policy : `store_readers.StoreDuty`
+        Made to read the store if peers do not deliver their view in time.
+    refresher : `refreshing.Refresher`
     """
 
-    def __init__(self, state, followers, port, duty, refresher):
+    def __init__(self, state, followers, port, read_policy, refresher):
         self._state = state
         self._catalog = followers.catalog
         self._instances = followers.instances
         self._quarantine = followers.quarantine
         self._port = port
-        self._duty = duty
+        self._duty = read_policy
         self._refresher = refresher
         self._behind_since = None
         self._pool = urllib3.PoolManager(num_pools=1, maxsize=1, retries=False)
 
     def start(self, stopped):
-        """Check in a thread of its own."""
+        """Check in a separate thread."""
         threading.Thread(
             target=self._run, args=(stopped,), name="sync", daemon=True
         ).start()
 
-    def find_newer(self, now):
+    def find_newer_peer(self, now):
         """Return the live peer with the newest view if it is newer, or None."""
-        own = (get_version(self._state), *self._get_own_offsets())
+        own_versions = (get_version(self._state), *self._get_own_offsets())
         best = None
         for peer in self._state.members.get_live(now):
-            theirs = (peer.report.catalog_version, *peer.report.view_offsets)
-            newer = any(map(operator.gt, theirs, own))
-            if newer and (best is None or theirs > best[0]):
-                best = (theirs, peer)
+            peer_versions = (peer.report.catalog_version, *peer.report.view_offsets)
+            is_newer = any(map(operator.gt, peer_versions, own_versions))
+            if is_newer and (best is None or peer_versions > best[0]):
+                best = (peer_versions, peer)
         return best[1] if best else None
 
     def _get_own_offsets(self):
         state = self._state
         quarantine = state.quarantine_offset
         if state.catalog_known and state.directory_known and not state.quarantine_known:
-            # Who stopped reading before it had listed an empty topic would wait for
-            # ever for a peer that looks newer, and never be ready.
-            quarantine = _NEVER_READ
+            # A gateway that stopped reading before it had listed an empty topic would
+            # find no peer with a higher offset and would never be ready.
+            quarantine = _NEVER_READ_OFFSET
         return (state.catalog_offset, state.directory_offset, quarantine)
 
     def fetch(self, peer):
-        """Take the peer's view in; return whether it could be had."""
+        """Fetch and merge the view of a peer; return whether it succeeded."""
         host = peer.address.rpartition(":")[0]
         url = f"http://{host}:{self._port}{VIEW_PATH}"
-        since = {
-            "catalog": self._get_catalog_start(peer.report),
+        start_offsets = {
+            "catalog": self._get_catalog_start_offset(peer.report),
             "instances": self._instances.end,
             "quarantine": self._quarantine.end,
         }
-        asked = self._state.clock()
-        # Always a new connection: a kept one may have fallen silent meanwhile, and to
-        # find that out takes longer than to open another.
+        requested_at = self._state.clock()
+        # Always use a new connection. An idle one may be dead, and detecting this takes
+        # longer than opening another.
         self._pool.clear()
         try:
-            resp = self._pool.request("GET", url, fields=since, timeout=_TIMEOUT)
+            resp = self._pool.request(
+                "GET", url, fields=start_offsets, timeout=_TIMEOUT_S
+            )
         except urllib3.exceptions.HTTPError:
             return False
         view = decode_view(resp.data) if resp.status == 200 else None
         if view is None:
             return False
-        self.adopt(view, peer.host, asked)
+        self.merge_view(view, peer.host, requested_at)
         return True
 
-    def _get_catalog_start(self, report):
-        """Return from which offset on to ask for configurations, 0 for all.
+    def _get_catalog_start_offset(self, report):
+        """Return the offset from which to request configurations, 0 for all.
 
-        A newer one that stands before our own end is in no batch of what came since.
+        A newer configuration may have an offset before our end, and is then missing
+        from a batch of the changes since our end.
         """
-        is_passed_by = report.catalog_version > get_version(self._state)
-        return 0 if is_passed_by else self._catalog.end
+        may_precede_end = report.catalog_version > get_version(self._state)
+        return 0 if may_precede_end else self._catalog.end
 
-    def adopt(self, view, source, asked):
-        """Take in the `View` of the peer ``source`` that was asked for at a time."""
+    def merge_view(self, view, source, requested_at):
+        """Merge the `View` of the peer ``source``, requested at ``requested_at``."""
         if view.regained_age >= 0.0:
-            # Ages count from when the peer was asked, as it spoke after that. Counted
-            # from their arrival, the return of the store moved on with each view that
-            # gateways exchanged, and with it the time for which records that go are
-            # believed to come back.
-            self._state.lapses.note_regained(asked - view.regained_age)
-        adopt_view(self._catalog, view.catalog, source)
-        adopt_view(self._instances, view.instances, source)
-        adopt_view(self._quarantine, view.quarantine, source)
+            # Ages count from the time of the request, which precedes the peer's answer.
+            # Counted from the arrival of the answer, the recovery of the store would
+            # move to a later time with each exchange of views, and extend the time for
+            # which removed records are retained.
+            self._state.lapses.mark_store_recovered(requested_at - view.regained_age)
+        merge_topic_view(self._catalog, view.catalog, source)
+        merge_topic_view(self._instances, view.instances, source)
+        merge_topic_view(self._quarantine, view.quarantine, source)
         if view.age >= 0.0:
-            self._state.freshness.note_peer(asked - view.age)
+            self._state.freshness.note_peer(requested_at - view.age)
 
     def _run(self, stopped):
         while not stopped.is_set():
-            self._state.newer_view.wait(_CHECK)
+            self._state.newer_view.wait(_CHECK_INTERVAL_S)
             self._state.newer_view.clear()
-            taken = self._guard(self.catch_up)
-            # After what peers know, which costs no call of the store.
-            self._guard(self._refresher.check)
+            merged = self._run_guarded(self.catch_up)
+            # Fetching from peers comes first, as it needs no call of the store.
+            self._run_guarded(self._refresher.check)
             self._duty.reads_store()
-            if taken is False:
-                stopped.wait(_PATIENCE)
+            if merged is False:
+                stopped.wait(_STORE_ANSWER_WAIT_S)
 
-    def _guard(self, action):
-        """Do something now; what goes wrong must not end this thread."""
+    def _run_guarded(self, action):
+        """Run an action; an exception is logged and must not end this thread."""
         try:
             return action(self._state.clock())
         except Exception as exc:
@@ -202,37 +205,37 @@
             return False
 
     def catch_up(self, now):
-        """Take a newer view where there is one; return whether it could be had.
+        """Fetch a newer view if a peer has one; return whether it succeeded.
 
-        None where nothing was tried.
+        Return None if nothing was fetched.
         """
-        peer = self.find_newer(now)
+        peer = self.find_newer_peer(now)
         if peer is None:
             self._behind_since = None
             return None
         if self._behind_since is None:
             self._behind_since = now
         behind = now - self._behind_since
-        if behind > _MAX_BEHIND:
-            self._duty.note_behind(now)
-        # The store's own answer is usually a moment away.
-        patience = _PATIENCE if self._duty.reads_store() else 0.0
-        if behind < patience:
+        if behind > _MAX_BEHIND_S:
+            self._duty.read_store_temporarily(now)
+        # The store usually answers within this delay.
+        delay = _STORE_ANSWER_WAIT_S if self._duty.reads_store() else 0.0
+        if behind < delay:
             return None
-        before = self._get_ends()
-        taken = self.fetch(peer)
+        previous_ends = self._get_end_offsets()
+        merged = self.fetch(peer)
         self._state.log.note(
             "view from peer",
-            failed=not taken,
+            failed=not merged,
             peer=peer.host,
-            taken=taken,
+            taken=merged,
             behind_s=round(behind, 3),
-            offsets_before=before,
-            offsets=self._get_ends(),
+            offsets_before=previous_ends,
+            offsets=self._get_end_offsets(),
             peer_offsets=peer.report.view_offsets,
             report_age_s=round(now - peer.heard, 3),
         )
-        return taken
+        return merged
 
-    def _get_ends(self):
+    def _get_end_offsets(self):
         return (self._catalog.end, self._instances.end, self._quarantine.end)
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -1,4 +1,4 @@
-"""Taking records of the store into the gateway's view of the world."""
+"""Application of the store's records to the state of the gateway."""
 
 import threading
 
@@ -9,36 +9,36 @@
 from ..quarantine import crash_attribution
 from ..quarantine.fingerprints import parse_fingerprint
 from ..quarantine.records import decode_record
-from .directory import Noted, is_repeated
+from .directory import Noted, is_stale_record
 
-# Keys with bad records that are known, and the characters of a line's texts: anybody
-# may write there.
-_MAX_BAD = 1_000
-_MAX_TEXT = 120
-_MAX_VERSIONS = 256
-# The rank of a configuration that cannot be decoded.
-_UNREADABLE = -1
+# Bounds on the keys with bad records and on logged texts, as the topics are writable by
+# any client.
+_MAX_BAD_KEY_COUNT = 1_000
+_MAX_TEXT_CHARS = 120
+_MAX_VERSION_COUNT = 256
+# Rank of a configuration that cannot be decoded.
+_UNDECODABLE_RANK = -1
 
 
 class ViewKeeper:
-    """Applies records; what cannot be decoded is counted and changes nothing."""
+    """Applies records; undecodable ones are counted and do not change the view."""
 
     def __init__(self, state, adapter):
         self._state = state
         self._adapter = adapter
-        # Bytes and `catalog.Catalog` of the configuration decoded last.
-        self._decoded = (None, None)
-        # Versions by the digest of a configuration's bytes.
+        # Bytes and `catalog.Catalog` of the last decoded configuration.
+        self._last_decoded = (None, None)
+        # Versions of configurations by the digest of their bytes.
         self._versions = {}
-        # Keys whose newest record cannot be used.
-        self._bad = set()
-        # The id of the life that a key of the instances topic stands for.
-        self._lives = {}
-        # Records come from the store's reader and from peers; timers end lapses.
+        # Keys whose newest record is invalid.
+        self._bad_keys = set()
+        # The id of the current incarnation by key of the instances topic.
+        self._ids_by_key = {}
+        # Records come from the store and from peers; timers end retentions.
         self._lock = threading.Lock()
 
     def apply_catalog(self, entry):
-        """Take in a record of the configuration topic."""
+        """Apply a record of the configuration topic."""
         domain = self._adapter.find_evacuated(entry.key)
         if domain is not None:
             self._apply_evacuation(domain, entry)
@@ -47,9 +47,9 @@
         try:
             catalog = self._decode_catalog(entry.value)
         except BadRecord as exc:
-            self._note_bad("configuration", entry.offset, exc)
+            self._count_bad_record("configuration", entry.offset, exc)
             return
-        self._note_sound("configuration")
+        self._mark_valid("configuration")
         in_force = self._state.catalog
         if not self._state.put_catalog(catalog):
             self._state.log.note(
@@ -68,19 +68,20 @@
         )
 
     def rank_catalog(self, entry):
-        """Return the version that decides between configurations, None for other keys.
+        """Return the version of a configuration as its rank, None for other keys.
 
-        One that cannot be decoded ranks below all that can.
+        An undecodable configuration ranks below all others.
         """
         if entry.key != self._adapter.catalog_key:
             return None
         if entry.value is None:
-            return _UNREADABLE
-        # Known records are compared with each new one; decoding takes milliseconds.
+            return _UNDECODABLE_RANK
+        # Known records are ranked again for each new one, and decoding takes
+        # milliseconds.
         digest = xxhash.xxh64_intdigest(entry.value)
         if digest not in self._versions:
             self._versions[digest] = self._read_version(entry.value)
-            while len(self._versions) > _MAX_VERSIONS:
+            while len(self._versions) > _MAX_VERSION_COUNT:
                 del self._versions[next(iter(self._versions))]
         return self._versions[digest]
 
@@ -88,18 +89,18 @@
         try:
             return self._decode_catalog(value).version
         except BadRecord:
-            return _UNREADABLE
+            return _UNDECODABLE_RANK
 
     def _decode_catalog(self, value):
-        """Decode a configuration; the last one, asked for several times, is kept."""
-        known, catalog = self._decoded
+        """Decode a configuration; the last one is cached for repeated use."""
+        known, catalog = self._last_decoded
         if known != value:
             catalog = self._adapter.decode_catalog(value)
-            self._decoded = (value, catalog)
+            self._last_decoded = (value, catalog)
         return catalog
 
-    def note_catalog(self, offset):
-        """Note that the configuration topic is known up to ``offset``."""
+    def record_catalog_offset(self, offset):
+        """Record the offset up to which the configuration topic is known."""
         self._state.catalog_offset = offset
         self._state.catalog_known = True
 
@@ -112,29 +113,31 @@
                 )
             return
         if domain in state.evacuations.domains:
-            # First, as its instances get work again once the evacuation is over.
+            # Before the end, as its instances get requests again from then on.
             self._warm_up_domain(domain)
             state.evacuations.end(domain)
             state.log.note("evacuation over", evacuated=domain, offset=entry.offset)
 
     def _warm_up_domain(self, domain):
-        """Take every instance of a domain for warming until its record says else.
+        """Start a warm-up of every instance of a domain until its next record.
 
-        Nothing was sent there for a while, and all gateways come back at once.
+        The instances got no requests for a while, and all gateways resume at once.
         """
         state = self._state
         now = state.clock()
         with self._lock:
             for row in state.directory.get_all_ready():
                 if row.zone == domain:
-                    self._note_warming(row, self._get_warm_time(row), "evacuation", now)
+                    self._start_warm_up(
+                        row, self._get_warm_time(row), "evacuation", now
+                    )
 
     def _get_warm_time(self, instance):
         catalog = self._state.catalog
         service = catalog.services.get(instance.service) if catalog else None
         return service.warm_time if service else 0.0
 
-    def _note_warming(self, instance, seconds, source, now):
+    def _start_warm_up(self, instance, seconds, source, now):
         state = self._state
         if seconds <= 0.0:
             return
@@ -150,39 +153,41 @@
             )
 
     def end_warm_ups(self):
-        """Note which instances have warmed up."""
+        """End and log the warm-ups whose time is over."""
         with self._lock:
             for instance_id in self._state.slow_start.take_ended(self._state.clock()):
                 self._state.log.note("upstream warm", upstream=instance_id)
 
     def apply_instance(self, entry):
-        """Take in a record of the instances topic."""
+        """Apply a record of the instances topic."""
         with self._lock:
             if entry.value is None:
                 self._remove(entry)
             else:
                 self._put(entry)
 
-    def end_lapses(self):
-        """Drop instances whose records did not come back in time."""
+    def remove_expired(self):
+        """Remove instances whose records were not renewed in time."""
         with self._lock:
-            for instance_id in self._state.lapses.take_expired(self._state.clock()):
+            for instance_id in self._state.lapses.pop_expired(self._state.clock()):
                 old = self._state.directory.remove(instance_id)
                 if old is not None:
-                    self._drop(old, self._state.directory_offset, "upstream gone")
+                    self._discard_state(
+                        old, self._state.directory_offset, "upstream gone"
+                    )
 
     def _remove(self, entry):
         state = self._state
         now = state.clock()
-        self._note_sound(entry.key)
-        known = self._find(entry.key)
+        self._mark_valid(entry.key)
+        known = self._find_instance(entry.key)
         if known is None:
             return
-        until = state.lapses.hold(known, now)
+        until = state.lapses.retain(known, now)
         if until is None:
-            self._take_away(known, entry.offset, "upstream gone")
+            self._remove_instance(known, entry.offset, "upstream gone")
             return
-        state.timers.subscribe("lapse", None, self.end_lapses, until - now)
+        state.timers.subscribe("lapse", None, self.remove_expired, until - now)
         state.log.note(
             "upstream lapsed",
             upstream=known.id,
@@ -196,12 +201,12 @@
         try:
             instance = self._adapter.decode_instance(entry.key, entry.value)
         except BadRecord as exc:
-            self._note_bad(entry.key, entry.offset, exc)
-            self._set_aside(entry)
+            self._count_bad_record(entry.key, entry.offset, exc)
+            self._remove_invalid(entry)
             return
-        self._note_sound(entry.key)
-        earlier = self._find(entry.key)
-        if earlier is not None and is_repeated(instance, earlier):
+        self._mark_valid(entry.key)
+        earlier = self._find_instance(entry.key)
+        if earlier is not None and is_stale_record(instance, earlier):
             state.log.note(
                 "older record ignored",
                 upstream=instance.id,
@@ -211,22 +216,22 @@
             )
             return
         if earlier is not None and earlier.id != instance.id:
-            # It holds and knows nothing of before.
-            state.lapses.release(earlier.id)
-            self._take_away(earlier, entry.offset, "upstream restarted")
-        self._lives[entry.key] = instance.id
+            # The new incarnation has no caches or requests of the earlier one.
+            state.lapses.stop_retaining(earlier.id)
+            self._remove_instance(earlier, entry.offset, "upstream restarted")
+        self._ids_by_key[entry.key] = instance.id
         old = state.directory.by_id.get(instance.id)
-        held = state.lapses.release(instance.id)
-        if _is_unchanged(old, instance) and not held:
+        was_retained = state.lapses.stop_retaining(instance.id)
+        if _is_unchanged(old, instance) and not was_retained:
             return
-        # Before any request can be sent there.
+        # Before the instance is in the directory and can get requests.
         now = state.clock()
         if instance.warming > 0.0:
-            self._note_warming(instance, instance.warming, "record", now)
+            self._start_warm_up(instance, instance.warming, "record", now)
         elif state.slow_start.forget(instance.id):
             state.log.note("upstream warm", upstream=instance.id, offset=entry.offset)
         state.directory.put(instance, Noted(entry.offset, now))
-        if held or old is None or old.ready != instance.ready:
+        if was_retained or old is None or old.ready != instance.ready:
             state.log.note(
                 "upstream ready" if instance.ready else "upstream leaving",
                 upstream=instance.id,
@@ -234,21 +239,21 @@
                 service=instance.service,
                 address=instance.address,
                 offset=entry.offset,
-                lapsed=held,
+                lapsed=was_retained,
             )
 
-    def _set_aside(self, entry):
-        """Send nothing more to an instance whose record another writer has spoilt.
+    def _remove_invalid(self, entry):
+        """Remove an instance whose record was replaced by an invalid one.
 
-        What runs there ends; a sound record brings it back.
+        Its active requests continue to their end. A valid record adds it again.
         """
-        known = self._find(entry.key)
+        known = self._find_instance(entry.key)
         if known is not None:
-            self._state.lapses.release(known.id)
-            self._take_away(known, entry.offset, "upstream record spoilt")
+            self._state.lapses.stop_retaining(known.id)
+            self._remove_instance(known, entry.offset, "upstream record spoilt")
 
     def apply_member(self, entry):
-        """Take in a record of the members topic: where a gateway listens."""
+        """Apply a record of the members topic, which has the address of a gateway."""
         if entry.key == self._state.cfg.host:
             self._state.member_record = entry.value
         if entry.value is None:
@@ -256,76 +261,76 @@
         try:
             member = parse_member(entry.key, entry.value)
         except ValueError as exc:
-            self._note_bad(entry.key, entry.offset, exc)
+            self._count_bad_record(entry.key, entry.offset, exc)
             return
-        self._note_sound(entry.key)
+        self._mark_valid(entry.key)
         self._state.members.add(member)
 
     def apply_quarantine(self, entry):
-        """Take in a record of the quarantine topic, or its end."""
+        """Apply a record of the quarantine topic, or its removal."""
         try:
             fingerprint = parse_fingerprint(entry.key)
             record = None if entry.value is None else decode_record(entry.value)
         except ValueError as exc:
-            self._note_bad(entry.key, entry.offset, exc)
+            self._count_bad_record(entry.key, entry.offset, exc)
             return
         crash_attribution.apply_record(
             self._state, fingerprint, record, self._state.clock()
         )
 
-    def note_quarantine(self, offset):
-        """Note that every quarantine written before ``offset`` is known."""
+    def record_quarantine_offset(self, offset):
+        """Record the offset up to which quarantines are known."""
         self._state.quarantine_known = True
         self._state.quarantine_offset = offset
 
-    def note_directory(self, offset):
-        """Note that every instance known before ``offset`` has been taken in."""
+    def record_directory_offset(self, offset):
+        """Record the offset up to which instances are known."""
         self._state.directory_known = True
         self._state.directory_offset = offset
 
-    def note_members(self, offset):
-        """Note that every gateway in the store's list is known."""
+    def mark_members_known(self, offset):
+        """Mark all gateways in the store's list as known."""
         self._state.members_known = True
 
-    def _find(self, key):
-        """Return the instance that a key of the instances topic stands for, or None."""
-        instance_id = self._lives.get(key)
+    def _find_instance(self, key):
+        """Return the current instance of a key of the instances topic, or None."""
+        instance_id = self._ids_by_key.get(key)
         return self._state.directory.by_id.get(instance_id)
 
-    def _take_away(self, instance, offset, event):
+    def _remove_instance(self, instance, offset, event):
         self._state.directory.remove(instance.id)
-        self._drop(instance, offset, event)
+        self._discard_state(instance, offset, event)
 
-    def _drop(self, instance, offset, event):
+    def _discard_state(self, instance, offset, event):
         state = self._state
-        self._lives.pop(instance.announced_id, None)
+        self._ids_by_key.pop(instance.announced_id, None)
         state.connections.drop(instance.id)
         state.loads.forget(instance.id)
         state.slow_start.forget(instance.id)
         state.backoffs.forget(instance.id)
         state.log.note(event, upstream=instance.id, offset=offset)
 
-    def _note_bad(self, what, offset, exc):
-        """Count a record that cannot be used, with one line until it is sound again."""
+    def _count_bad_record(self, record_key, offset, exc):
+        """Count an invalid record; log only the first until the key is valid again."""
         self._state.bad_records += 1
-        if what in self._bad or len(self._bad) >= _MAX_BAD:
+        if record_key in self._bad_keys or len(self._bad_keys) >= _MAX_BAD_KEY_COUNT:
             return
-        self._bad.add(what)
-        self._state.bad_keys = len(self._bad)
+        self._bad_keys.add(record_key)
+        self._state.bad_keys = len(self._bad_keys)
         self._state.log.note(
             "bad record",
             failed=True,
-            key=what[:_MAX_TEXT],
+            key=record_key[:_MAX_TEXT_CHARS],
             offset=offset,
-            why=str(exc)[:_MAX_TEXT],
+            why=str(exc)[:_MAX_TEXT_CHARS],
         )
 
-    def _note_sound(self, what):
-        if what in self._bad:
-            self._bad.discard(what)
-            self._state.bad_keys = len(self._bad)
+    def _mark_valid(self, record_key):
+        if record_key in self._bad_keys:
+            self._bad_keys.discard(record_key)
+            self._state.bad_keys = len(self._bad_keys)
 
 
 def _is_unchanged(old, instance):
-    """Return whether a record says nothing new but that its upstream lives."""
+    """Return whether a record differs from the known one only in its sequence."""
     return old is not None and old._replace(sequence=instance.sequence) == instance
