--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/pause_recovery.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/pause_recovery.py
@@ -5,7 +5,7 @@
 changes.
 """
 
-from ..view.store_readers import get_longest_age
+from ..view.store_read_policy import get_max_view_age
 
 # If no change arrives within this time, the store is unavailable, and an old view is
 # better than none.
@@ -24,7 +24,7 @@
     each.
     """
     age = state.freshness.get_age(now)
-    max_age = get_longest_age(state.cfg)
+    max_age = get_max_view_age(state.cfg)
     if age is None or age <= max_age:
         return False
     if state.members.is_mesh:
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_checks.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_checks.py
@@ -3,7 +3,7 @@
 from ..placement.prompts import parse_prompt
 from ..refusals import Refusal
 from ..view.catalog import RouteKind
-from ..view.store_readers import get_longest_age
+from ..view.store_read_policy import get_max_view_age
 from ..view_source import get_version
 
 RESPONSE_MARGIN_S = 0.03
@@ -59,7 +59,7 @@
     """
     now = state.clock()
     age = state.freshness.get_age(now)
-    is_fresh = age is not None and age <= get_longest_age(state.cfg)
+    is_fresh = age is not None and age <= get_max_view_age(state.cfg)
     if is_fresh and not _has_newer_peer(state, now):
         return denial
     return Refusal(
--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -29,7 +29,7 @@
 from .view.following import create_followers, create_view_handler
 from .view.publishing import Publisher
 from .view.refreshing import Refresher
-from .view.store_readers import StoreDuty
+from .view.store_read_policy import StoreReadPolicy
 from .view.syncing import ViewSync
 from .view.views import ViewKeeper
 
@@ -59,12 +59,12 @@
         self._ready = ready
         listen = state.cfg.listen
         self._fleet = create_fleet(state, listen.reports)
-        duty = StoreDuty(state, lambda: self._fleet.plan)
+        read_policy = StoreReadPolicy(state, lambda: self._fleet.plan)
         state.quarantine_store = QuarantineStore(
             state, adapter.store, adapter.quarantine_topic
         )
         self._keeper = ViewKeeper(state, adapter)
-        self._followers = create_followers(state, adapter, duty, self._keeper)
+        self._followers = create_followers(state, adapter, read_policy, self._keeper)
         state.freshness.is_held = self._is_held
         self._views = create_server(
             listen.fleet,
@@ -77,8 +77,8 @@
             state,
             self._followers,
             int(listen.fleet.rpartition(":")[2]),
-            duty,
-            Refresher(state, self._followers, duty),
+            read_policy,
+            Refresher(state, self._followers, read_policy),
         )
         self._scout = CacheScout(state, adapter.list_parts, create_fetch(listen.fleet))
         self._metrics = _create_metrics_server(state, self._update_gauges)
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
@@ -9,7 +9,7 @@
 for too long.
 """
 
-from .store_readers import get_longest_age
+from .store_read_policy import get_max_view_age
 
 # A younger call may still be answered at once.
 _MIN_CALL_AGE_S = 0.2
@@ -23,12 +23,12 @@
     Parameters
     ----------
     followers : `following.Followers`
-    read_policy : `store_readers.StoreDuty`
+    read_policy : `store_read_policy.StoreReadPolicy`
     """
 
     def __init__(self, state, followers, read_policy):
         self._state = state
-        self._duty = read_policy
+        self._read_policy = read_policy
         self._followers = (
             followers.catalog,
             followers.instances,
@@ -43,7 +43,7 @@
         if (
             now < self._next_refresh
             or not self._is_due(now)
-            or not self._duty.reads_store()
+            or not self._read_policy.reads_store()
         ):
             return
         waiting = [
@@ -60,7 +60,7 @@
 
     def _is_due(self, now):
         age = self._state.freshness.get_age(now)
-        is_old = age is not None and age > get_longest_age(self._state.cfg)
+        is_old = age is not None and age > get_max_view_age(self._state.cfg)
         return is_old or any(row.is_overdue(now) for row in self._followers)
 
     def _retry_unapplied(self, now):
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/store_readers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/store_read_policy.py
@@ -29,7 +29,7 @@
 _CHECK_INTERVAL_S = 0.5
 
 
-def get_longest_age(cfg):
+def get_max_view_age(cfg):
     """Return the age in seconds above which a view is too old.
 
     At this age there is just enough time left to read the store. With an older view a
@@ -40,7 +40,7 @@
     return allowed / 1000.0 - _READ_S
 
 
-class StoreDuty:
+class StoreReadPolicy:
     """Decides by the fleet's plan and the age of the view whether to read the store."""
 
     def __init__(self, state, get_plan):
@@ -125,7 +125,7 @@
         return min(
             poll,
             _MAX_READER_POLL_S,
-            max(_MIN_POLL_S, get_longest_age(state.cfg) - delay),
+            max(_MIN_POLL_S, get_max_view_age(state.cfg) - delay),
         )
 
     def _should_read(self, now):
@@ -145,7 +145,7 @@
         age = state.freshness.get_age(now)
         if age is None:
             return uptime > _MAX_VIEW_WAIT_S
-        return age > get_longest_age(state.cfg)
+        return age > get_max_view_age(state.cfg)
 
     def _is_first_in_domain(self, now):
         """Return whether no earlier gateway of this domain is available."""
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
@@ -95,7 +95,7 @@
     followers : `following.Followers`
     port : int
         Port of the fleet's HTTP interface, which is the same for all gateways.
-    read_policy : `store_readers.StoreDuty`
+    read_policy : `store_read_policy.StoreReadPolicy`
         Made to read the store if peers do not deliver their view in time.
     refresher : `refreshing.Refresher`
     """
@@ -106,7 +106,7 @@
         self._instances = followers.instances
         self._quarantine = followers.quarantine
         self._port = port
-        self._duty = read_policy
+        self._read_policy = read_policy
         self._refresher = refresher
         self._behind_since = None
         self._pool = urllib3.PoolManager(num_pools=1, maxsize=1, retries=False)
@@ -192,7 +192,7 @@
             merged = self._run_guarded(self.catch_up)
             # Fetching from peers comes first, as it needs no call of the store.
             self._run_guarded(self._refresher.check)
-            self._duty.reads_store()
+            self._read_policy.reads_store()
             if merged is False:
                 stopped.wait(_STORE_ANSWER_WAIT_S)
 
@@ -217,9 +217,9 @@
             self._behind_since = now
         behind = now - self._behind_since
         if behind > _MAX_BEHIND_S:
-            self._duty.read_store_temporarily(now)
+            self._read_policy.read_store_temporarily(now)
         # The store usually answers within this delay.
-        delay = _STORE_ANSWER_WAIT_S if self._duty.reads_store() else 0.0
+        delay = _STORE_ANSWER_WAIT_S if self._read_policy.reads_store() else 0.0
         if behind < delay:
             return None
         previous_ends = self._get_end_offsets()
