--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -34,7 +34,7 @@
 from .upstreams.upstream_exits import Endings
 from .view.directory import Directory
 from .view.evacuations import Evacuations
-from .view.expired_records import Lapses
+from .view.lapsed_records import LapsedRecords
 
 # As many as an upstream or two run at a time; older ones are left out.
 _MAX_NOTICES = 200
@@ -66,7 +66,7 @@
         self.catalog_since = None
         self.directory = Directory()
         self.directory_known = False
-        self.lapses = Lapses(cfg.upstreams.leave_within_ms / 1000.0)
+        self.lapses = LapsedRecords(cfg.upstreams.leave_within_ms / 1000.0)
         self.members_known = False
         self.directory_offset = 0
         self.catalog_offset = 0
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/expired_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/lapsed_records.py
@@ -14,7 +14,7 @@
 _SEND_MARGIN_S = 0.2
 
 
-class Lapses:
+class LapsedRecords:
     """The time of the store's recovery, and the upstreams retained without a record.
 
     Parameters
