--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -26,11 +26,11 @@
 from .transport.servers import create_plain_handler, create_server
 from .transport.sockets import prepare_socket
 from .upstreams import upstream_signals
-from .view.following import create_followers, create_view_handler
-from .view.publishing import Publisher
-from .view.refreshing import Refresher
+from .view.publisher import Publisher
+from .view.refresher import Refresher
 from .view.store_read_policy import StoreReadPolicy
-from .view.syncing import ViewSync
+from .view.topic_followers import create_followers, create_view_handler
+from .view.view_sync import ViewSync
 from .view.views import ViewKeeper
 
 METRICS_PATH = "/metrics"
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/refreshing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/refresher.py
@@ -22,7 +22,7 @@
 
     Parameters
     ----------
-    followers : `following.Followers`
+    followers : `topic_followers.Followers`
     read_policy : `store_read_policy.StoreReadPolicy`
     """
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/following.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/topic_followers.py
@@ -4,7 +4,7 @@
 from urllib.parse import parse_qs
 
 from .follower import TopicFollower
-from .syncing import VIEW_PATH, encode_view, make_topic_view
+from .view_sync import VIEW_PATH, encode_view, make_topic_view
 
 _MEMBERS_CHECK_S = 0.3
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/syncing.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/view_sync.py
@@ -92,12 +92,12 @@
 
     Parameters
     ----------
-    followers : `following.Followers`
+    followers : `topic_followers.Followers`
     port : int
         Port of the fleet's HTTP interface, which is the same for all gateways.
     read_policy : `store_read_policy.StoreReadPolicy`
         Made to read the store if peers do not deliver their view in time.
-    refresher : `refreshing.Refresher`
+    refresher : `refresher.Refresher`
     """
 
     def __init__(self, state, followers, port, read_policy, refresher):
--- a/packages/valeweir_gateway/tests/test_gateway.py
+++ b/packages/valeweir_gateway/tests/test_gateway.py
@@ -4,9 +4,9 @@
 from valeweir_gateway.gateway import create_gateway
 from valeweir_gateway.settings import GatewaySettings, Listen, Store
 from valeweir_gateway.transport.headers import HeaderNames
-from valeweir_gateway.view.following import create_view_handler
-from valeweir_gateway.view.syncing import VIEW_PATH, decode_view
+from valeweir_gateway.view.topic_followers import create_view_handler
 from valeweir_gateway.view.topics import Entry, Listing
+from valeweir_gateway.view.view_sync import VIEW_PATH, decode_view
 
 
 def make_gateway():
--- a/packages/valeweir_gateway/tests/test_leaving.py
+++ b/packages/valeweir_gateway/tests/test_leaving.py
@@ -18,14 +18,14 @@
 from valeweir_gateway.view.directory import Instance
 from valeweir_gateway.view.follower import TopicFollower
 from valeweir_gateway.view.store_read_policy import StoreReadPolicy
-from valeweir_gateway.view.syncing import (
+from valeweir_gateway.view.topics import Batch, Entry, Listing
+from valeweir_gateway.view.view_sync import (
     ViewSync,
     decode_view,
     encode_view,
     make_topic_view,
     merge_topic_view,
 )
-from valeweir_gateway.view.topics import Batch, Entry, Listing
 from valeweir_gateway.view.views import ViewKeeper
 from valeweir_standins.wires import Wire
 from viewing import Clock, make_followers, make_state
--- a/packages/valeweir_gateway/tests/test_publishing.py
+++ b/packages/valeweir_gateway/tests/test_publishing.py
@@ -3,7 +3,7 @@
 
 from valeweir.exceptions import PlatformUnavailable
 from valeweir_gateway.fleet.members import Member
-from valeweir_gateway.view.publishing import Publisher
+from valeweir_gateway.view.publisher import Publisher
 from viewing import make_state
 
 
--- a/packages/valeweir_gateway/tests/test_refreshing.py
+++ b/packages/valeweir_gateway/tests/test_refreshing.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 
 from valeweir_gateway.fleet.members import Member
-from valeweir_gateway.view.refreshing import Refresher
+from valeweir_gateway.view.refresher import Refresher
 from viewing import Clock, make_followers, make_state
 
 
--- a/packages/valeweir_gateway/tests/test_views.py
+++ b/packages/valeweir_gateway/tests/test_views.py
@@ -9,14 +9,14 @@
 from valeweir_gateway.view.directory import Instance
 from valeweir_gateway.view.follower import TopicFollower
 from valeweir_gateway.view.lapsed_records import LapsedRecords
-from valeweir_gateway.view.syncing import (
+from valeweir_gateway.view.topics import Batch, Entry, Listing
+from valeweir_gateway.view.view_sync import (
     ViewSync,
     decode_view,
     encode_view,
     make_topic_view,
     merge_topic_view,
 )
-from valeweir_gateway.view.topics import Batch, Entry, Listing
 from valeweir_gateway.view.views import ViewKeeper
 from viewing import Clock, RecordingLog, make_followers, make_state
 
--- a/packages/valeweir_gateway/tests/viewing.py
+++ b/packages/valeweir_gateway/tests/viewing.py
@@ -3,7 +3,7 @@
 from valeweir_gateway.settings import GatewaySettings, Listen, Store, Upstreams
 from valeweir_gateway.states import GatewayState
 from valeweir_gateway.view.follower import TopicFollower
-from valeweir_gateway.view.following import Followers
+from valeweir_gateway.view.topic_followers import Followers
 
 
 class Clock:
