--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
@@ -121,7 +121,7 @@
         Every gateway passes on what it knows, so that relays and gateways that start
         learn it. It is never retracted: a life that leaves does not return.
         """
-        names = self._state.directory.get_leaving()
+        names = self._state.directory.get_unrecorded_leaving()
         return [get_digest(name) for name in sorted(names)[:_MAX_LEAVING]]
 
     def _pick_members(self, now):
--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -31,7 +31,7 @@
 from .view.store_read_policy import StoreReadPolicy
 from .view.topic_followers import create_followers, create_view_handler
 from .view.view_sync import ViewSync
-from .view.views import ViewKeeper
+from .view.views import ViewUpdater
 
 METRICS_PATH = "/metrics"
 _STOP_POLL = 0.05
@@ -63,8 +63,8 @@
         state.quarantine_store = QuarantineStore(
             state, adapter.store, adapter.quarantine_topic
         )
-        self._keeper = ViewKeeper(state, adapter)
-        self._followers = create_followers(state, adapter, read_policy, self._keeper)
+        self._updater = ViewUpdater(state, adapter)
+        self._followers = create_followers(state, adapter, read_policy, self._updater)
         state.freshness.is_held = self._is_held
         self._views = create_server(
             listen.fleet,
@@ -210,7 +210,7 @@
         gauges.live_peers.set(len(state.members.get_live(state.clock())))
         gauges.instances.set(len(state.directory.by_id))
         gauges.backing_off.set(state.backoffs.count_active(state.clock()))
-        sources = collections.Counter(state.directory.get_leaving().values())
+        sources = collections.Counter(state.directory.get_unrecorded_leaving().values())
         for source in upstream_signals.SOURCES:
             gauges.leaving.labels(source).set(sources[source])
         gauges.leaving.labels("record").set(state.directory.count_leaving())
--- a/packages/valeweir_gateway/src/valeweir_gateway/stores.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/stores.py
@@ -16,7 +16,7 @@
         self.first = first
 
 
-class Unanswered(PlatformUnavailable):
+class StoreTimeout(PlatformUnavailable):
     """A call timed out without receiving any data on its connection."""
 
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
@@ -77,7 +77,7 @@
 def note_leaving(state, instance_id, source, **inputs):
     """Note that an upstream leaves, which its record may not say yet."""
     now = state.clock()
-    noted = state.directory.get_noted(instance_id)
+    noted = state.directory.get_record_position(instance_id)
     if not state.directory.mark_leaving(instance_id, source):
         return
     state.connections.drop(instance_id)
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
@@ -36,7 +36,7 @@
         return self.announced_as or self.id
 
 
-def make_life_id(announced_id, started_at):
+def make_incarnation_id(announced_id, started_at):
     """Return the id of an incarnation; ``started_at`` is None if it is unknown."""
     return announced_id if started_at is None else f"{announced_id}@{started_at}"
 
@@ -51,7 +51,7 @@
     return is_same_life and returns and instance.sequence < known.sequence
 
 
-class Noted(NamedTuple):
+class RecordPosition(NamedTuple):
     """Offset and arrival time (steady clock) of the last record of an instance."""
 
     offset: int
@@ -116,7 +116,7 @@
                 self._update_ready_index(instance.service)
             return instance is None or instance.ready
 
-    def get_leaving(self):
+    def get_unrecorded_leaving(self):
         """Return the sources, by id, of leaving incarnations with a ready record."""
         with self._lock:
             if self._unrecorded_leaving is None:
@@ -135,8 +135,8 @@
         """Return the number of instances whose record is in the leaving state."""
         return sum(not row.ready for row in list(self.by_id.values()))
 
-    def get_noted(self, instance_id):
-        """Return the `Noted` of the last record of an instance, or None."""
+    def get_record_position(self, instance_id):
+        """Return the `RecordPosition` of the last record of an instance, or None."""
         return self._records.get(instance_id)
 
     def get_id(self, digest):
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
@@ -5,8 +5,8 @@
 
 from valeweir.exceptions import PlatformUnavailable
 
-from ..stores import HistoryExpired, Unanswered
-from ..view_source import STORE, Taken
+from ..stores import HistoryExpired, StoreTimeout
+from ..view_source import STORE, ViewUpdate
 from .topics import TopicRecords, restore_highest_ranked
 
 _FIRST_RETRY_DELAY_S = 0.1
@@ -66,7 +66,7 @@
     is_done : callable
         Returns whether the topic no longer has to be read.
     on_update : callable
-        Called with the topic and the `view_source.Taken` of each listing or batch.
+        Called with the topic and the `view_source.ViewUpdate` of each listing or batch.
     rank : callable
         As for `topics.TopicRecords`.
     """
@@ -149,7 +149,7 @@
                 "history expired", topic=self._topic, offset=self._next_offset
             )
             self._next_offset = None
-        except Unanswered as exc:
+        except StoreTimeout as exc:
             self._record_timeout(str(exc))
             return False
         except PlatformUnavailable as exc:
@@ -209,7 +209,7 @@
             self._records.retry_unapplied(self._records.get_unapplied())
 
     @property
-    def is_away(self):
+    def is_unavailable(self):
         """Return whether the last call of the store failed."""
         return self._is_available is False
 
@@ -390,7 +390,7 @@
             unapplied = self._records.get_unapplied()
             merge(update)
             self._records.retry_unapplied(unapplied)
-            view_update = Taken(begin, self.end, source, is_listing, self._clock())
+            view_update = ViewUpdate(begin, self.end, source, is_listing, self._clock())
             self._on_update(self._topic, view_update)
             self._on_merged(self.end)
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/topic_followers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/topic_followers.py
@@ -19,7 +19,7 @@
 
 
 def create_followers(state, adapter, read_policy, updater):
-    """Return the `Followers` whose records a `views.ViewKeeper` applies."""
+    """Return the `Followers` whose records a `views.ViewUpdater` applies."""
 
     def ignore(*_):
         pass
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -9,7 +9,7 @@
 from ..quarantine import crash_attribution
 from ..quarantine.fingerprints import parse_fingerprint
 from ..quarantine.records import decode_record
-from .directory import Noted, is_stale_record
+from .directory import RecordPosition, is_stale_record
 
 # Bounds on the keys with bad records and on logged texts, as the topics are writable by
 # any client.
@@ -20,7 +20,7 @@
 _UNDECODABLE_RANK = -1
 
 
-class ViewKeeper:
+class ViewUpdater:
     """Applies records; undecodable ones are counted and do not change the view."""
 
     def __init__(self, state, adapter):
@@ -230,7 +230,7 @@
             self._start_warm_up(instance, instance.warming, "record", now)
         elif state.slow_start.forget(instance.id):
             state.log.note("upstream warm", upstream=instance.id, offset=entry.offset)
-        state.directory.put(instance, Noted(entry.offset, now))
+        state.directory.put(instance, RecordPosition(entry.offset, now))
         if was_retained or old is None or old.ready != instance.ready:
             state.log.note(
                 "upstream ready" if instance.ready else "upstream leaving",
--- a/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
@@ -6,7 +6,7 @@
 STORE = "store"
 
 
-class Taken(NamedTuple):
+class ViewUpdate(NamedTuple):
     """The last update of the view of a topic.
 
     ``begin`` and ``end`` are the end offsets of the view before and after the update.
@@ -79,7 +79,7 @@
     """
     answered = state.loads.get(instance_id, now).answered
     answer_age = None if answered is None else round(now - answered, 3)
-    record = state.directory.get_noted(instance_id)
+    record = state.directory.get_record_position(instance_id)
     if record is None:
         return {"upstream_offset": None, "upstream_answered_s": answer_age}
     return {
