--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
@@ -19,7 +19,7 @@
 
 CACHES_PATH = "/fleet/caches"
 _RETRY_INTERVAL_S = 0.5
-_MAX_TRIES = 3
+_MAX_ENGINE_TRIES = 3
 # The first gateway of a domain may have started at the same moment.
 _MAX_PEER_TRIES = 8
 _PEER_TIMEOUT_S = 1.0
@@ -62,7 +62,7 @@
         self._list_parts = list_parts
         self._fetch = fetch
         self._queue = queue.SimpleQueue()
-        self._asked = set()
+        self._seen_ids = set()
 
     def start(self, stopped):
         """Ask in a thread of its own."""
@@ -75,17 +75,17 @@
         catalog = self._state.catalog
         if catalog is None:
             return
-        known = set(self._state.directory.by_id)
-        self._asked &= known
-        for instance_id in known - self._asked:
+        instance_ids = set(self._state.directory.by_id)
+        self._seen_ids &= instance_ids
+        for instance_id in instance_ids - self._seen_ids:
             instance = self._state.directory.by_id.get(instance_id)
             service = catalog.services.get(instance.service) if instance else None
             has_cache = service is not None and service.engine is not None
             if has_cache and self._state.directory.is_ready(instance_id):
-                self._asked.add(instance_id)
-                self._learn(instance)
+                self._seen_ids.add(instance_id)
+                self._queue_unless_warming(instance)
 
-    def _learn(self, instance):
+    def _queue_unless_warming(self, instance):
         """Take a warming engine's cache as empty; ask the others for theirs.
 
         One that has just started has read nothing, and calls of every gateway at
@@ -94,7 +94,7 @@
         state = self._state
         now = state.clock()
         if state.slow_start.is_warming(instance.id, now):
-            state.loads.note_listed(instance.id, [], now)
+            state.loads.record_listed(instance.id, [], now)
         else:
             self._queue.put(instance)
 
@@ -115,7 +115,7 @@
             if parts is None:
                 unknown.append(instance)
             else:
-                self._state.loads.note_listed(instance.id, parts, now)
+                self._state.loads.record_listed(instance.id, parts, now)
         self._state.log.note(
             "caches from peer",
             failed=data is None,
@@ -135,7 +135,7 @@
         try:
             parts = self._list_parts(instance.address)
         except ListRefused as exc:
-            self._note_refused(instance, exc)
+            self._on_list_refused(instance, exc)
             return False
         except PlatformUnavailable as exc:
             self._state.log.note(
@@ -143,11 +143,11 @@
             )
             return False
         digests = [get_digest(part) for part in parts]
-        self._state.loads.note_listed(instance.id, digests, self._state.clock())
+        self._state.loads.record_listed(instance.id, digests, self._state.clock())
         self._state.log.note("cache listed", upstream=instance.id, parts=len(parts))
         return True
 
-    def _note_refused(self, instance, exc):
+    def _on_list_refused(self, instance, exc):
         seconds = parse_retry_after(exc.retry_after or "")
         self._state.log.note(
             "cache not listed", failed=True, upstream=instance.id, why=str(exc)
@@ -155,7 +155,7 @@
         if seconds:
             add_backoff(self._state, instance.id, seconds, status=exc.status)
 
-    def learn_all(self, instances, wait):
+    def discover_all(self, instances, wait):
         """Learn what some engines hold, from a peer or from them.
 
         Parameters
@@ -171,7 +171,7 @@
             if not instances or wait(_RETRY_INTERVAL_S):
                 return
         for instance in instances:
-            for _ in range(_MAX_TRIES):
+            for _ in range(_MAX_ENGINE_TRIES):
                 if self.ask(instance) or wait(_RETRY_INTERVAL_S):
                     break
 
@@ -179,7 +179,7 @@
         while not stopped.is_set():
             instances = self._take_queued()
             if instances:
-                self.learn_all(instances, stopped.wait)
+                self.discover_all(instances, stopped.wait)
 
     def _take_queued(self):
         """Return the engines that wait to be asked, once there are some."""
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/candidates.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/candidates.py
@@ -3,7 +3,7 @@
 from ..refusals import BUSY_RETRY, Refusal, limit_retry
 
 # Seconds, so that a client does not come back a moment too soon.
-_MIN_RETRY = 0.05
+_MIN_RETRY_S = 0.05
 
 
 def find_candidates(state, ctx, now):
@@ -11,7 +11,7 @@
     ready = state.directory.get_ready(ctx.service)
     if not ready:
         return Refusal(503, "no-upstream", retry_after=BUSY_RETRY)
-    permitted = _keep_permitted(state, ctx, ready)
+    permitted = _keep_allowed_regions(state, ctx, ready)
     if not permitted:
         return Refusal(503, "no-upstream-in-region")
     ready = _drop_evacuated(state, permitted)
@@ -19,17 +19,17 @@
         inputs = {"evacuated": sorted(state.evacuations.domains)}
         return Refusal(503, "evacuated", retry_after=BUSY_RETRY, inputs=inputs)
     if ctx.excluded:
-        ready = [row for row in ready if row.id not in ctx.excluded]
-    paused, ready = ready, _keep_open(state, ready, now)
-    if paused and not ready:
-        return _refuse_paused(state, paused, now)
-    rows = _keep_warm(state, ctx, _keep_usable(state, ready, now), now)
-    if not rows and not ready:
+        ready = [instance for instance in ready if instance.id not in ctx.excluded]
+    all_ready, ready = ready, _drop_backing_off(state, ready, now)
+    if all_ready and not ready:
+        return _refuse_backing_off(state, all_ready, now)
+    instances = _drop_without_permit(state, ctx, _keep_usable(state, ready, now), now)
+    if not instances and not ready:
         return Refusal(503, "no-upstream", retry_after=BUSY_RETRY)
-    if not rows:
+    if not instances:
         # Instances that were set aside may still be better than none.
-        rows = _keep_warm(state, ctx, ready, now)
-    return rows or _refuse_warming(state, ctx, ready, now)
+        instances = _drop_without_permit(state, ctx, ready, now)
+    return instances or _refuse_warming(state, ctx, ready, now)
 
 
 def may_receive(state, ctx, instance, now):
@@ -43,11 +43,11 @@
         return "leaving"
     if instance.zone in state.evacuations.domains:
         return "evacuated"
-    if not _is_open(state, instance, now):
+    if not _may_send(state, instance, now):
         return "backoff"
     if ctx.permit == instance.id or not _needs_permit(state, ctx, instance, now):
         return None
-    if state.slow_start.take(instance.id, _get_rate(ctx), now):
+    if state.slow_start.use_permit(instance.id, _get_warm_rate(ctx), now):
         return None
     return "warming"
 
@@ -57,115 +57,125 @@
 
     None where some instance takes work now, or none is there.
     """
-    rows = _find_allowed(state, ctx)
-    if not rows or _keep_open(state, rows, now):
+    instances = _find_allowed(state, ctx)
+    if not instances or _drop_backing_off(state, instances, now):
         return None
-    return state.backoffs.compute_return([row.id for row in rows], now, state.rng)
+    return state.backoffs.compute_retry_after(
+        [instance.id for instance in instances], now, state.rng
+    )
 
 
 def has_alternative(state, ctx, now, besides=None):
     """Return whether an instance ``besides`` one and those tried takes work now."""
-    rows = _find_allowed(state, ctx)
-    untried = [row for row in rows if row.id not in ctx.excluded and row != besides]
-    return bool(_keep_open(state, untried, now))
+    instances = _find_allowed(state, ctx)
+    untried = [
+        instance
+        for instance in instances
+        if instance.id not in ctx.excluded and instance != besides
+    ]
+    return bool(_drop_backing_off(state, untried, now))
 
 
 def take_permit(state, ctx, instance, now):
     """Use up the permit that the choice of a warming instance rests on."""
     if not _needs_permit(state, ctx, instance, now):
         return
-    if state.slow_start.take(instance.id, _get_rate(ctx), now):
+    if state.slow_start.use_permit(instance.id, _get_warm_rate(ctx), now):
         ctx.permit = instance.id
 
 
 def get_allowed_regions(route, account):
     """Return the regions in which a request may run, None for all."""
-    own = route.regions
+    route_regions = route.regions
     if account is None or not account.regions:
-        return own or None
-    return own & account.regions if own else account.regions
+        return route_regions or None
+    return route_regions & account.regions if route_regions else account.regions
 
 
 def _find_allowed(state, ctx):
     """Return the ready instances in allowed regions and domains that are in use."""
-    rows = _keep_permitted(state, ctx, state.directory.get_ready(ctx.service))
-    return _drop_evacuated(state, rows)
+    instances = _keep_allowed_regions(
+        state, ctx, state.directory.get_ready(ctx.service)
+    )
+    return _drop_evacuated(state, instances)
 
 
-def _keep_permitted(state, ctx, rows):
+def _keep_allowed_regions(state, ctx, instances):
     allowed = get_allowed_regions(ctx.route, ctx.account)
     if allowed is None:
-        return rows
+        return instances
     regions = state.cfg.regions
-    return [row for row in rows if regions.get(row.zone) in allowed]
+    return [instance for instance in instances if regions.get(instance.zone) in allowed]
 
 
-def _drop_evacuated(state, rows):
+def _drop_evacuated(state, instances):
     evacuated = state.evacuations.domains
     if not evacuated:
-        return rows
-    return [row for row in rows if row.zone not in evacuated]
+        return instances
+    return [instance for instance in instances if instance.zone not in evacuated]
 
 
-def _is_open(state, instance, now):
+def _may_send(state, instance, now):
     """Return whether the instance asked for no pause that still keeps sends away."""
     running = state.loads.get(instance.id, now).active
     return state.backoffs.may_send(instance.id, running, now)
 
 
-def _keep_open(state, rows, now):
+def _drop_backing_off(state, instances, now):
     if not state.backoffs:
-        return rows
-    return [row for row in rows if _is_open(state, row, now)]
+        return instances
+    return [instance for instance in instances if _may_send(state, instance, now)]
 
 
 def _keep_usable(state, ready, now):
     usable = state.loads.pick_usable(ready, now)
-    cut = state.domains.get_cut(state.members.get_silent_domains(now), now)
-    if cut:
-        usable = [row for row in usable if row.zone not in cut] or usable
+    unreachable = state.domains.get_cut(state.members.get_silent_domains(now), now)
+    if unreachable:
+        usable = [
+            instance for instance in usable if instance.zone not in unreachable
+        ] or usable
     return usable
 
 
-def _keep_warm(state, ctx, rows, now):
+def _drop_without_permit(state, ctx, instances, now):
     """Leave out warming instances for which this gateway has no permit."""
     slow_start = state.slow_start
-    rate = _get_rate(ctx)
+    rate = _get_warm_rate(ctx)
     if not slow_start or rate <= 0.0:
-        return rows
+        return instances
     return [
-        row
-        for row in rows
-        if not slow_start.is_warming(row.id, now)
-        or slow_start.may_send(row.id, rate, now)
+        instance
+        for instance in instances
+        if not slow_start.is_warming(instance.id, now)
+        or slow_start.has_permit(instance.id, rate, now)
     ]
 
 
 def _needs_permit(state, ctx, instance, now):
-    return _get_rate(ctx) > 0.0 and state.slow_start.is_warming(instance.id, now)
+    return _get_warm_rate(ctx) > 0.0 and state.slow_start.is_warming(instance.id, now)
 
 
-def _get_rate(ctx):
+def _get_warm_rate(ctx):
     service = ctx.catalog.services.get(ctx.service)
     return service.warm_rate if service is not None else 0.0
 
 
-def _refuse_paused(state, rows, now):
+def _refuse_backing_off(state, instances, now):
     """Return the `Refusal` where all that could serve asked for a pause.
 
     The time to come back is not cut to what is left of the request's own: sooner would
     only be refused again.
     """
-    ids = [row.id for row in rows]
+    ids = [instance.id for instance in instances]
     ends = [state.backoffs.get_end(instance_id) for instance_id in ids]
     inputs = {"backing_off": len(ids), "first_end_s": round(min(ends) - now, 3)}
-    wait = state.backoffs.compute_return(ids, now, state.rng)
+    wait = state.backoffs.compute_retry_after(ids, now, state.rng)
     return Refusal(503, "upstreams-backing-off", retry_after=wait, inputs=inputs)
 
 
-def _refuse_warming(state, ctx, rows, now):
+def _refuse_warming(state, ctx, instances, now):
     """Return the `Refusal` where all that could serve are warming up."""
-    ends = [state.slow_start.get_end(row.id) for row in rows]
-    retry_after = limit_retry(ctx, max(_MIN_RETRY, min(ends) - now), now)
-    inputs = {"warming": len(rows)}
+    ends = [state.slow_start.get_end(instance.id) for instance in instances]
+    retry_after = limit_retry(ctx, max(_MIN_RETRY_S, min(ends) - now), now)
+    inputs = {"warming": len(instances)}
     return Refusal(503, "upstreams-warming", retry_after=retry_after, inputs=inputs)
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
@@ -10,23 +10,23 @@
 # Weight of a second of reading a cached prompt anew, against a second of waiting.
 _REREAD_WEIGHT = 3.5
 # Seconds for each place in the order: among idle instances the first one wins.
-_RANK_WAIT = 0.005
+_RANK_WAIT_S = 0.005
 # Instances weighed at first, and more at a time. Two would spread load nearly as
 # well as all with news that were never old; four leave room for slow ones.
-_WIDTH = 4
+_BATCH_INSTANCE_COUNT = 4
 # Weight of a second of moving cached parts.
-_MOVE_WEIGHT = 16.0
+_TRANSFER_WEIGHT = 16.0
 # Seconds that a move takes besides its bytes.
-_MOVE_BASE = 0.005
+_TRANSFER_BASE_S = 0.005
 # Tokens; what is less is read sooner than moved.
-_MIN_MOVE = 500
+_MIN_TRANSFER_TOKENS = 500
 _MAX_HOLDERS = 4
 # Seconds for a plain call to another domain and back: two ways of 0.5 to 1.4 ms.
-_REMOTE_ZONE_WAIT = 0.002
+_REMOTE_ZONE_WAIT_S = 0.002
 # Multiplicative hashing: 2 ** 64 divided by the golden ratio, and odd.
-_MIXER = 0x9E3779B97F4A7C15
-_MASK = (1 << 64) - 1
-_SEEDS = 8_192
+_HASH_MULTIPLIER = 0x9E3779B97F4A7C15
+_HASH_MASK = (1 << 64) - 1
+_MAX_CACHED_HASHES = 8_192
 
 
 class Choice(NamedTuple):
@@ -44,23 +44,25 @@
     source: object = None
 
 
-@functools.lru_cache(_SEEDS)
-def _get_seed(name):
+@functools.lru_cache(_MAX_CACHED_HASHES)
+def _hash_name(name):
     return xxhash.xxh64_intdigest(name.encode())
 
 
 def rank_instances(key, instances):
     """Return the instances in rendezvous order for ``key``, best first."""
-    seed = _get_seed(key)
+    key_hash = _hash_name(key)
     return sorted(
         instances,
-        key=lambda row: (seed ^ _get_seed(row.id)) * _MIXER & _MASK,
+        key=lambda instance: (
+            (key_hash ^ _hash_name(instance.id)) * _HASH_MULTIPLIER & _HASH_MASK
+        ),
         reverse=True,
     )
 
 
 def choose_engine(
-    prompt, instances, loads, now, engine=None, patience=0.0, target=None
+    prompt, instances, loads, now, engine=None, max_queue_wait=0.0, latency_target=None
 ):
     """Return the `Choice` with the least wait and price, or None.
 
@@ -75,50 +77,65 @@
     to the same one until the next reports. So only a few are weighed, which
     differ from prompt to prompt: the first in rendezvous order and those that
     hold most of it. More are weighed only while the wait for others is longer
-    than ``patience``, in seconds.
+    than ``max_queue_wait``, in seconds.
 
-    ``target`` is the route's latency target in seconds, from which and the engines'
-    backlog follows how far prompts are spread; see `cold_caches`.
+    ``latency_target`` is the route's latency target in seconds, from which and the
+    engines' backlog follows how far prompts are spread; see `cold_caches`.
     """
     ranked = rank_instances(prompt.home or prompt.own_id, instances)
     held = loads.count_held(prompt.shared, now)
     holders = find_holders(held, ranked, engine)
     spread = Spread()
-    if target is not None:
-        spread = choose_spread(loads.estimate_backlog(instances, now), target)
-    missing = prompt.tokens - prompt.own - max(held.values(), default=0)
-    weigh = functools.partial(
-        _weigh,
+    if latency_target is not None:
+        spread = choose_spread(loads.estimate_backlog(instances, now), latency_target)
+    uncached = prompt.tokens - prompt.own - max(held.values(), default=0)
+    evaluate = functools.partial(
+        _evaluate,
         prompt,
         held=held,
         holders=holders,
         loads=loads,
         now=now,
         engine=engine,
-        home_discount=spread.home_discount * missing,
+        home_discount=spread.home_discount * uncached,
     )
-    options = [weigh(rank, row) for rank, row in enumerate(ranked[:_WIDTH])]
-    options += [weigh(_WIDTH, row) for row, _ in holders if row not in ranked[:_WIDTH]]
-    weighed = _WIDTH
-    while weighed < len(ranked) and _get_least_queue(options) > patience:
-        more = ranked[weighed : weighed + _WIDTH]
-        options += [weigh(weighed + place, row) for place, row in enumerate(more)]
-        weighed += _WIDTH
-    if not options:
+    candidates = [
+        evaluate(rank, instance)
+        for rank, instance in enumerate(ranked[:_BATCH_INSTANCE_COUNT])
+    ]
+    candidates += [
+        evaluate(_BATCH_INSTANCE_COUNT, instance)
+        for instance, _ in holders
+        if instance not in ranked[:_BATCH_INSTANCE_COUNT]
+    ]
+    evaluated_count = _BATCH_INSTANCE_COUNT
+    while (
+        evaluated_count < len(ranked)
+        and _get_min_queue_wait(candidates) > max_queue_wait
+    ):
+        more = ranked[evaluated_count : evaluated_count + _BATCH_INSTANCE_COUNT]
+        candidates += [
+            evaluate(evaluated_count + offset, instance)
+            for offset, instance in enumerate(more)
+        ]
+        evaluated_count += _BATCH_INSTANCE_COUNT
+    if not candidates:
         return None
-    in_time = [option for option in options if option.wait <= spread.max_wait]
-    best = min(in_time or options, key=lambda option: option.score)
+    in_time = [
+        candidate for candidate in candidates if candidate.wait <= spread.max_wait
+    ]
+    best = min(in_time or candidates, key=lambda candidate: candidate.score)
     return Choice(
         best.instance, best.unread, best.wait, best.alone, best.reason, best.source
     )
 
 
-def _get_least_queue(options):
+def _get_min_queue_wait(candidates):
     """Return the least time that a request waits for others, in seconds."""
-    return min(option.wait - option.alone for option in options)
+    return min(candidate.wait - candidate.alone for candidate in candidates)
 
 
-class _Option(NamedTuple):
+class _Candidate(NamedTuple):
     """An instance weighed; times in seconds, ``source`` to take parts from."""
 
     instance: object
@@ -130,30 +147,30 @@
     source: object
 
 
-def _weigh(prompt, rank, instance, held, holders, loads, now, engine, home_discount):
+def _evaluate(prompt, rank, instance, held, holders, loads, now, engine, home_discount):
     cached = held.get(instance.id, 0)
     if rank == 0 and not loads.is_listed(instance.id):
         cached = prompt.tokens - prompt.own
     source = pick_source(instance, cached, holders) if holders else None
     reason = "home" if rank == 0 else "spill"
-    move = 0.0
+    transfer = 0.0
     if source is not None:
         reason = "fetch"
         remote = source[0].zone != instance.zone
-        move = estimate_move(source[1] - cached, remote, engine)
+        transfer = estimate_transfer(source[1] - cached, remote, engine)
         cached = source[1]
     unread = max(1, prompt.tokens - cached)
     load = loads.get(instance.id, now)
-    wait = loads.estimate_wait(load, unread) + move
-    alone = loads.estimate_alone(load, unread) + move
+    wait = loads.estimate_wait(load, unread) + transfer
+    alone = loads.estimate_alone(load, unread) + transfer
     reread = max(0, unread - prompt.own)
     if rank == 0:
         # What no engine holds has to be read once, and all gateways look for it here.
         reread = max(0, reread - home_discount)
-    price = _REREAD_WEIGHT * reread / loads.rate + _MOVE_WEIGHT * move
-    score = wait + price + _RANK_WAIT * rank
-    found = source[0] if source else None
-    return _Option(instance, unread, wait, alone, score, reason, found)
+    cost = _REREAD_WEIGHT * reread / loads.rate + _TRANSFER_WEIGHT * transfer
+    score = wait + cost + _RANK_WAIT_S * rank
+    source_instance = source[0] if source else None
+    return _Candidate(instance, unread, wait, alone, score, reason, source_instance)
 
 
 def find_holders(held, instances, engine):
@@ -163,8 +180,10 @@
     """
     if not held or engine is None or engine.link_rate <= 0.0:
         return []
-    rows = [(row, held[row.id]) for row in instances if row.id in held]
-    return sorted(rows, key=lambda row: row[1], reverse=True)[:_MAX_HOLDERS]
+    holders = [
+        (instance, held[instance.id]) for instance in instances if instance.id in held
+    ]
+    return sorted(holders, key=lambda holder: holder[1], reverse=True)[:_MAX_HOLDERS]
 
 
 def pick_source(instance, cached, holders):
@@ -172,17 +191,20 @@
 
     Of those that hold most, one in the same failure domain goes first.
     """
-    better = [row for row in holders if row[1] > cached + _MIN_MOVE]
+    better = [holder for holder in holders if holder[1] > cached + _MIN_TRANSFER_TOKENS]
     if not better:
         return None
-    most = better[0][1]
-    return max(better, key=lambda row: (row[1] == most, row[0].zone == instance.zone))
+    max_tokens = better[0][1]
+    return max(
+        better,
+        key=lambda holder: (holder[1] == max_tokens, holder[0].zone == instance.zone),
+    )
 
 
-def estimate_move(tokens, remote, engine):
+def estimate_transfer(tokens, remote, engine):
     """Return seconds to take cached tokens over, twice as long between domains."""
     seconds = tokens * engine.token_bytes / engine.link_rate
-    return _MOVE_BASE + seconds * (2.0 if remote else 1.0)
+    return _TRANSFER_BASE_S + seconds * (2.0 if remote else 1.0)
 
 
 def choose_instance(instances, loads, zone, now, rng):
@@ -194,11 +216,11 @@
     best = None
     for instance in instances:
         load = loads.get(instance.id, now)
-        busy = (load.active + load.remote_active) / max(1, instance.slots)
-        remote = _REMOTE_ZONE_WAIT if instance.zone != zone else 0.0
+        utilisation = (load.active + load.remote_active) / max(1, instance.slots)
+        remote = _REMOTE_ZONE_WAIT_S if instance.zone != zone else 0.0
         wait = loads.estimate_call(load, instance.slots) + remote
         # Some become slower when nearly full.
-        score = (wait + busy * loads.call_time, rng.random())
+        score = (wait + utilisation * loads.call_time, rng.random())
         if best is None or score < best[0]:
             best = (score, instance, wait)
     if best is None:
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/cold_caches.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/cold_caches.py
@@ -11,7 +11,7 @@
 
 # Shares of the latency target that the mean backlog of the engines takes: where copies
 # count in full, and from where on a request waits for its home or is refused.
-_FULL_PRICE_RATIO = 0.25
+_FULL_COST_RATIO = 0.25
 _BACKLOGGED_RATIO = 0.45
 # Share of the target within which a first event is worth a copy.
 _MAX_WAIT_RATIO = 0.65
@@ -29,9 +29,9 @@
     max_wait: float = math.inf
 
 
-def choose_spread(backlog, target):
+def choose_spread(backlog, latency_target):
     """Return the `Spread` for the engines' mean backlog and a latency target, in s."""
-    if backlog >= _BACKLOGGED_RATIO * target:
+    if backlog >= _BACKLOGGED_RATIO * latency_target:
         return Spread(home_discount=1.0)
-    discount = min(1.0, backlog / (_FULL_PRICE_RATIO * target))
-    return Spread(discount, _MAX_WAIT_RATIO * target)
+    discount = min(1.0, backlog / (_FULL_COST_RATIO * latency_target))
+    return Spread(discount, _MAX_WAIT_RATIO * latency_target)
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
@@ -24,28 +24,28 @@
     def __init__(self, own):
         self._own = own
         self._lock = threading.Lock()
-        self._failed = {}
+        self._failed_at = {}
 
     def note_failure(self, domain, now):
         """Note that an instance of the domain could not be reached."""
         if domain != self._own:
             with self._lock:
-                self._failed[domain] = now
+                self._failed_at[domain] = now
 
     def note_success(self, domain):
         """Note an answer from an instance of the domain."""
-        if domain in self._failed:
+        if domain in self._failed_at:
             with self._lock:
-                self._failed.pop(domain, None)
+                self._failed_at.pop(domain, None)
 
     def get_cut(self, silent, now):
         """Return the domains among ``silent`` ones that are probably cut off."""
-        if not self._failed or not silent:
+        if not self._failed_at or not silent:
             return frozenset()
         with self._lock:
             return frozenset(
                 domain
-                for domain, at in self._failed.items()
+                for domain, at in self._failed_at.items()
                 if domain in silent and now - at < _EVIDENCE_LIFETIME_S
             )
 
@@ -72,14 +72,14 @@
             ):
                 continue
             self._probed_at[domain] = now
-            instance = self._pick(domain)
+            instance = self._choose_instance(domain)
             if instance is not None:
-                self._note(domain, self._is_reachable(instance))
+                self._record_result(domain, self._is_reachable(instance))
 
-    def _pick(self, domain):
-        rows = [row for row in self._state.directory.get_all_ready()]
-        rows = [row for row in rows if row.zone == domain]
-        return self._state.rng.choice(rows) if rows else None
+    def _choose_instance(self, domain):
+        instances = [instance for instance in self._state.directory.get_all_ready()]
+        instances = [instance for instance in instances if instance.zone == domain]
+        return self._state.rng.choice(instances) if instances else None
 
     def _is_reachable(self, instance):
         try:
@@ -88,12 +88,12 @@
             return False
         return True
 
-    def _note(self, domain, reachable):
+    def _record_result(self, domain, reachable):
         state = self._state
-        known = domain in state.domains.get_cut({domain}, state.clock())
+        was_unreachable = domain in state.domains.get_cut({domain}, state.clock())
         if reachable:
             state.domains.note_success(domain)
         else:
             state.domains.note_failure(domain, state.clock())
-        if known == reachable:
+        if was_unreachable == reachable:
             state.log.note("domain probed", probed=domain, reachable=reachable)
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
@@ -10,25 +10,25 @@
 import threading
 
 from ..digests import get_digest
-from .work import FIRST_PAUSE, InstanceLoad, Work
-
-_FIRST_RATE = 30_000.0
-_MIN_RATE = 2_000.0
-_MAX_RATE = 400_000.0
-_RATE_MEMORY = 0.05
-_FIRST_BASE = 0.05
-_BASE_MEMORY = 0.02
-_MIN_READ = 1_500
+from .work import INITIAL_EJECTION_S, InstanceLoad, Work
+
+_INITIAL_RATE_TOKENS_PER_S = 30_000.0
+_MIN_RATE_TOKENS_PER_S = 2_000.0
+_MAX_RATE_TOKENS_PER_S = 400_000.0
+_RATE_EWMA_ALPHA = 0.05
+_INITIAL_BASE_S = 0.05
+_BASE_EWMA_ALPHA = 0.02
+_MIN_SAMPLE_TOKENS = 1_500
 # Seconds that a plain call takes to begin with, and the part of the mean that a new
 # figure makes up.
-_FIRST_CALL_TIME = 0.05
-_CALL_MEMORY = 0.1
-_CACHE_LIFETIME = 60.0
+_INITIAL_CALL_TIME_S = 0.05
+_CALL_TIME_EWMA_ALPHA = 0.1
+_CACHE_LIFETIME_S = 60.0
 _MAX_PARTS = 20_000
 _MAX_READS = 200
-_SILENCE = 1.0
-_ERRORS_TO_EJECT = 2
-_MAX_PAUSE = 8.0
+_MIN_STALL_S = 1.0
+_EJECTION_ERROR_COUNT = 2
+_MAX_EJECTION_S = 8.0
 
 
 class Loads:
@@ -40,13 +40,13 @@
     def __init__(self):
         self._lock = threading.Lock()
         self._by_id = {}
-        self._parts = {}
-        self._listed = set()
+        self._holders_by_digest = {}
+        self._listed_ids = set()
         # Rises when this gateway's own work changes.
         self.version = 0
-        self.rate = _FIRST_RATE
-        self.base = _FIRST_BASE
-        self.call_time = _FIRST_CALL_TIME
+        self.rate = _INITIAL_RATE_TOKENS_PER_S
+        self.base = _INITIAL_BASE_S
+        self.call_time = _INITIAL_CALL_TIME_S
 
     def get(self, instance_id, now):
         """Return the `InstanceLoad` of an instance."""
@@ -60,53 +60,57 @@
         with self._lock:
             self.version += 1
             self._by_id.pop(instance_id, None)
-            self._listed.discard(instance_id)
-            for holders in self._parts.values():
+            self._listed_ids.discard(instance_id)
+            for holders in self._holders_by_digest.values():
                 holders.pop(instance_id, None)
 
     def is_cached(self, part_id, instance_id, now):
         """Return whether the instance has probably read the part lately."""
-        at = self._parts.get(get_digest(part_id), {}).get(instance_id)
-        return at is not None and now - at < _CACHE_LIFETIME
+        at = self._holders_by_digest.get(get_digest(part_id), {}).get(instance_id)
+        return at is not None and now - at < _CACHE_LIFETIME_S
 
     def count_held(self, parts, now):
         """Return {instance id: tokens} of the leading parts probably held there."""
         held = {}
         leading = None
-        oldest = now - _CACHE_LIFETIME
+        oldest = now - _CACHE_LIFETIME_S
         for part in parts:
-            holders = self._parts.get(get_digest(part.id))
+            holders = self._holders_by_digest.get(get_digest(part.id))
             if not holders:
                 break
             if leading is None:
                 rows = list(holders.items())
-                leading = [name for name, at in rows if at > oldest]
+                leading = [instance_id for instance_id, at in rows if at > oldest]
             else:
-                leading = [name for name in leading if holders.get(name, 0.0) > oldest]
-            for name in leading:
-                held[name] = held.get(name, 0) + part.tokens
+                leading = [
+                    instance_id
+                    for instance_id in leading
+                    if holders.get(instance_id, 0.0) > oldest
+                ]
+            for instance_id in leading:
+                held[instance_id] = held.get(instance_id, 0) + part.tokens
         return held
 
     def is_listed(self, instance_id):
         """Return whether it is known what the instance held at some time."""
-        return instance_id in self._listed
+        return instance_id in self._listed_ids
 
-    def note_listed(self, instance_id, digests, now):
+    def record_listed(self, instance_id, digests, now):
         """Note which parts the instance says that it holds."""
         for digest in digests:
             self.note_digest(digest, instance_id, now)
-        self._listed.add(instance_id)
+        self._listed_ids.add(instance_id)
 
     def get_listed(self, now):
         """Return {instance digest: part digests} of the instances that were listed."""
-        oldest = now - _CACHE_LIFETIME
+        oldest = now - _CACHE_LIFETIME_S
         with self._lock:
-            listed = {instance_id: [] for instance_id in self._listed}
-            for digest, holders in self._parts.items():
+            listed = {instance_id: [] for instance_id in self._listed_ids}
+            for digest, holders in self._holders_by_digest.items():
                 for instance_id, at in holders.items():
                     if at > oldest and instance_id in listed:
                         listed[instance_id].append(digest)
-        return {get_digest(name): parts for name, parts in listed.items()}
+        return {get_digest(instance_id): parts for instance_id, parts in listed.items()}
 
     def note_parts(self, parts, instance_id, now):
         """Note that the instance reads these parts."""
@@ -116,9 +120,9 @@
     def note_digest(self, digest, instance_id, now):
         """Note that the instance reads the part with this digest."""
         with self._lock:
-            self._parts.setdefault(digest, {})[instance_id] = now
-            while len(self._parts) > _MAX_PARTS:
-                self._parts.pop(next(iter(self._parts)))
+            self._holders_by_digest.setdefault(digest, {})[instance_id] = now
+            while len(self._holders_by_digest) > _MAX_PARTS:
+                self._holders_by_digest.pop(next(iter(self._holders_by_digest)))
 
     def estimate_wait(self, load, tokens):
         """Return seconds until a request with ``tokens`` to read gives an event."""
@@ -141,32 +145,34 @@
 
         Calls beyond the slots wait for one, in order of arrival.
         """
-        own = self.call_time if load.call_time is None else load.call_time
-        return own * _count_turns(load.active + load.remote_active, slots)
+        service_time = self.call_time if load.call_time is None else load.call_time
+        return service_time * _compute_queue_factor(
+            load.active + load.remote_active, slots
+        )
 
     def note_call(self, work, slots, elapsed):
         """Learn from the time that a plain call took."""
-        own = elapsed / _count_turns(work.running, slots)
+        service_time = elapsed / _compute_queue_factor(work.running, slots)
         with self._lock:
             load = self._by_id.get(work.instance_id)
             if load is None:
                 return
-            self.call_time += _CALL_MEMORY * (own - self.call_time)
-            known = self.call_time if load.call_time is None else load.call_time
-            load.call_time = known + _CALL_MEMORY * (own - known)
+            self.call_time += _CALL_TIME_EWMA_ALPHA * (service_time - self.call_time)
+            mean = self.call_time if load.call_time is None else load.call_time
+            load.call_time = mean + _CALL_TIME_EWMA_ALPHA * (service_time - mean)
 
     def start(self, instance_id, tokens, now):
         """Note a request sent; return its `Work`."""
         with self._lock:
             load = self.get(instance_id, now)
             if load.active == 0:
-                load.heard = now
+                load.last_activity = now
             ahead = load.unread + load.remote_unread
             running = load.active + load.remote_active
             load.unread += tokens
             load.active += 1
             self.version += 1
-            if load.until and now >= load.until:
+            if load.ejected_until and now >= load.ejected_until:
                 load.probing = True
             return Work(instance_id, tokens, ahead, running, now)
 
@@ -179,13 +185,13 @@
     def note_progress(self, work, now):
         """Note that something of the answer has come."""
         load = self.get(work.instance_id, now)
-        load.heard = now
-        if work.is_read:
+        load.last_activity = now
+        if work.is_prompt_read:
             return
         work.first = now - work.sent
         with self._lock:
-            self._note_read(work, load)
-            self._learn(work, load, work.first)
+            self._mark_prompt_read(work, load)
+            self._update_rate(work, load, work.first)
 
     def finish(self, work, now):
         """Note the end of a request, whatever it was."""
@@ -196,37 +202,40 @@
                 return
             load.active = max(0, load.active - 1)
             self.version += 1
-            if not work.is_read:
-                self._note_read(work, load)
+            if not work.is_prompt_read:
+                self._mark_prompt_read(work, load)
 
     def note_success(self, instance_id, now):
         """Note a whole answer; return whether it ended an ejection."""
         load = self.get(instance_id, now)
-        ended = load.until > 0.0
+        ended = load.ejected_until > 0.0
         load.errors = 0
-        load.until = 0.0
+        load.ejected_until = 0.0
         load.probing = False
         if ended:
-            load.pause = FIRST_PAUSE
+            load.next_ejection = INITIAL_EJECTION_S
         return ended
 
     def note_error(self, instance_id, now, severe=False):
         """Note a failure; return the pause in seconds if it ejects, or None."""
         load = self.get(instance_id, now)
         load.errors += 1
-        if load.errors < _ERRORS_TO_EJECT and not load.probing and not severe:
+        if load.errors < _EJECTION_ERROR_COUNT and not load.probing and not severe:
             return None
-        if now < load.until:
+        if now < load.ejected_until:
             return None
-        load.until = now + load.pause
-        pause, load.pause = load.pause, min(load.pause * 2, _MAX_PAUSE)
+        load.ejected_until = now + load.next_ejection
+        ejection, load.next_ejection = (
+            load.next_ejection,
+            min(load.next_ejection * 2, _MAX_EJECTION_S),
+        )
         load.probing = False
-        return pause
+        return ejection
 
     def note_replaced(self, instance_id, now):
         """Note that another instance has the address; this one is gone."""
         load = self.get(instance_id, now)
-        load.until = now + _MAX_PAUSE
+        load.ejected_until = now + _MAX_EJECTION_S
         load.probing = False
 
     def note_released(self, instance_id, now):
@@ -236,23 +245,23 @@
     def pick_usable(self, instances, now):
         """Return the instances that are neither set aside nor silent, if any."""
         usable = [row for row in instances if self.is_usable(row.id, now)]
-        heard = [row for row in usable if not self.is_silent(row.id, now)]
-        return heard or usable
+        responsive = [row for row in usable if not self.is_stalled(row.id, now)]
+        return responsive or usable
 
     def is_usable(self, instance_id, now):
         """Return whether a request may go there."""
         load = self.get(instance_id, now)
-        if load.until:
-            return now >= load.until and not load.probing
+        if load.ejected_until:
+            return now >= load.ejected_until and not load.probing
         return True
 
-    def is_silent(self, instance_id, now):
+    def is_stalled(self, instance_id, now):
         """Return whether requests run there and nothing has come for long."""
         load = self.get(instance_id, now)
         if load.active == 0:
             return False
         expected = self.base + load.slowness * load.unread / self.rate
-        return now - load.heard > max(_SILENCE, 2.0 * expected)
+        return now - load.last_activity > max(_MIN_STALL_S, 2.0 * expected)
 
     def get_report(self):
         """Return {instance id: (unread, active)} of this gateway's own work."""
@@ -274,30 +283,30 @@
                 load = self.get(instance_id, now)
                 load.remote_unread, load.remote_active = totals[instance_id]
 
-    def _note_read(self, work, load):
-        work.is_read = True
+    def _mark_prompt_read(self, work, load):
+        work.is_prompt_read = True
         self.version += 1
         load.unread = max(0, load.unread - work.tokens)
 
-    def _learn(self, work, load, elapsed):
+    def _update_rate(self, work, load, elapsed):
         if work.tokens == 0:
             # A plain call; what it takes says nothing of engines.
             return
         total = work.ahead + work.tokens
         reading = elapsed - self.base
-        if total < _MIN_READ:
+        if total < _MIN_SAMPLE_TOKENS:
             if work.ahead == 0:
-                self.base += _BASE_MEMORY * (min(elapsed, 1.0) - self.base)
+                self.base += _BASE_EWMA_ALPHA * (min(elapsed, 1.0) - self.base)
             return
         if reading <= 0:
             return
-        rate = min(_MAX_RATE, max(_MIN_RATE, total / reading))
-        self.rate += _RATE_MEMORY * (rate - self.rate)
+        rate = min(_MAX_RATE_TOKENS_PER_S, max(_MIN_RATE_TOKENS_PER_S, total / reading))
+        self.rate += _RATE_EWMA_ALPHA * (rate - self.rate)
         slowness = self.rate / rate
         load.slowness += 0.1 * (min(8.0, max(0.5, slowness)) - load.slowness)
 
 
-def _count_turns(running, slots):
+def _compute_queue_factor(running, slots):
     """Return how many times its own time a call takes behind ``running`` others."""
     return max(1.0, (running + 1) / max(1, slots))
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/work.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/work.py
@@ -1,7 +1,7 @@
 """Work of one instance, and one request's part of it."""
 
 # Seconds for which an instance is set aside first; each next time is twice as long.
-FIRST_PAUSE = 0.7
+INITIAL_EJECTION_S = 0.7
 
 
 class InstanceLoad:
@@ -11,15 +11,15 @@
         "active",
         "answered",
         "call_time",
+        "ejected_until",
         "errors",
-        "heard",
-        "pause",
+        "last_activity",
+        "next_ejection",
         "probing",
         "remote_active",
         "remote_unread",
         "slowness",
         "unread",
-        "until",
     )
 
     def __init__(self, now):
@@ -27,12 +27,12 @@
         self.remote_unread = 0
         self.active = 0
         self.remote_active = 0
-        self.heard = now
+        self.last_activity = now
         # When the head of its last answer came, None for never.
         self.answered = None
         self.errors = 0
-        self.pause = FIRST_PAUSE
-        self.until = 0.0
+        self.next_ejection = INITIAL_EJECTION_S
+        self.ejected_until = 0.0
         self.probing = False
         self.slowness = 1.0
         # Seconds that a plain call takes here with a place of its own.
@@ -46,7 +46,7 @@
         "ahead",
         "first",
         "instance_id",
-        "is_read",
+        "is_prompt_read",
         "running",
         "sent",
         "tokens",
@@ -59,4 +59,4 @@
         self.running = running
         self.sent = sent
         self.first = None
-        self.is_read = False
+        self.is_prompt_read = False
