--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/backoffs.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/backoffs.py
@@ -1,43 +1,46 @@
-"""Pauses that upstreams ask for, and how sends come back after them.
+"""Backoffs that upstreams request, and the gradual return of requests after them.
 
-An upstream that sheds load rejects a request and says for how long it wants nothing
-more from this gateway. It rejects at once and so looks idle, which would make it the
-first choice for every request that follows. Once its pause is over, requests come back
-a few at a time: all that were kept from it would make it shed again.
+An upstream that sheds load rejects a request and states for how long this gateway
+should send it nothing more. It rejects immediately and so looks idle, which would make
+it the first choice for all following requests. After the backoff, the number of
+concurrent requests is limited at first: sending all withheld requests at the same time
+would make the upstream shed load again.
 """
 
 import threading
 
-# Seconds; longer pauses are cut to this, so that a faulty answer cannot take an
-# upstream out of use for good.
+# Longer backoffs are cut to this, so that a faulty response cannot take an upstream out
+# of use permanently.
 MAX_BACKOFF_S = 600.0
-# After the pause the requests that may run there double with each step.
+# After the backoff, the limit of concurrent requests doubles with each step.
 _STEP_S = 0.2
 _STEP_COUNT = 6
-# Jitter of ``Retry-After``: a ratio of the time until the first pause ends, and seconds
-# that it has at least.
+# Maximum jitter of ``Retry-After``, relative to the time until the first backoff ends,
+# with a lower bound.
 _MAX_JITTER_RATIO = 0.3
 _MIN_JITTER_S = 0.2
 
 
 class Backoffs:
-    """Upstream instances that asked this gateway for a pause, by instance id."""
+    """Backoffs that upstream instances requested from this gateway, by instance id."""
 
     def __init__(self):
-        # When each pause ends, on the steady clock; kept until all may come back.
+        # End of each backoff on the monotonic clock. An entry is kept until the limit
+        # of concurrent requests is lifted.
         self._end_times = {}
-        # Those whose end was not reported yet.
+        # Instances whose end of backoff `take_ended` has not returned yet.
         self._unreported = set()
-        # Answers come on the event loop; a timer and the store's readers forget pauses.
+        # Responses add backoffs on the event loop; a timer and the threads that read
+        # the store remove them.
         self._lock = threading.Lock()
 
     def __bool__(self):
         return bool(self._end_times)
 
     def add(self, instance_id, seconds, now):
-        """Note a pause asked for now; return whether none was in force.
+        """Add a backoff that starts now; return whether none was active.
 
-        A later, shorter one does not shorten one that is in force.
+        It never shortens an active backoff.
         """
         end = now + min(seconds, MAX_BACKOFF_S)
         with self._lock:
@@ -47,11 +50,11 @@
         return is_new
 
     def is_active(self, instance_id, now):
-        """Return whether the instance wants nothing from this gateway now."""
+        """Return whether the instance is backing off."""
         return now < self.get_end(instance_id)
 
     def may_send(self, instance_id, running, now):
-        """Return whether one more request may go there beside ``running`` ones."""
+        """Return whether a request may be sent in addition to ``running`` ones."""
         end = self._end_times.get(instance_id)
         if end is None:
             return True
@@ -59,24 +62,25 @@
         return limit is None or running < limit
 
     def get_end(self, instance_id):
-        """Return when the pause ends (steady clock), 0 where none was asked for."""
+        """Return the end of the backoff (monotonic clock), 0 if there is none."""
         return self._end_times.get(instance_id, 0.0)
 
     def compute_retry_after(self, instance_ids, now, rng):
-        """Return the seconds after which a client may come back to one of these.
+        """Return the seconds after which a client may retry at one of the instances.
 
-        The first pause is over then; jitter keeps clients from returning all at once.
+        The first backoff has ended by then. Jitter keeps clients from retrying at the
+        same moment.
         """
         ends = [self.get_end(instance_id) for instance_id in instance_ids]
         wait = max(0.0, min(ends, default=now) - now)
         return wait + rng.uniform(0.0, max(_MIN_JITTER_S, _MAX_JITTER_RATIO * wait))
 
     def count_active(self, now):
-        """Return how many instances are paused."""
+        """Return the number of instances that are backing off."""
         return sum(now < end for end in list(self._end_times.values()))
 
     def take_ended(self, now):
-        """Return the ids of instances whose pause is over, each once."""
+        """Return the ids of instances whose backoff has ended, each only once."""
         with self._lock:
             ended = [
                 instance_id
@@ -90,14 +94,17 @@
         return ended
 
     def forget(self, instance_id):
-        """Drop what is known of an instance that is gone."""
+        """Remove the backoff of an instance that no longer exists."""
         with self._lock:
             self._end_times.pop(instance_id, None)
             self._unreported.discard(instance_id)
 
 
 def compute_concurrency_limit(since_end):
-    """Return how many requests may run some seconds after a pause, None for any."""
+    """Return the limit of concurrent requests, None for no limit.
+
+    ``since_end`` is the time since the end of the backoff in seconds.
+    """
     if since_end < 0.0:
         return 0
     step = int(since_end / _STEP_S)
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
@@ -1,9 +1,9 @@
-"""Learning what engines hold in their caches when this gateway starts.
+"""Discovery of the prompt parts in engine caches when this gateway starts.
 
-From then on gateways tell each other what they have engines read. A list holds
-an engine's work up, and every gateway would ask for one of every engine at each of its
-starts. So behind relays only the first gateway of each failure domain asks engines,
-and the others ask that gateway.
+After that, gateways report to each other which parts their requests make engines read.
+Listing its cache delays the other work of an engine, and every gateway would list every
+engine at each start. In a fleet with relays, only the first gateway of each failure
+domain therefore lists engines, and the others request the lists from that gateway.
 """
 
 import queue
@@ -20,7 +20,8 @@
 CACHES_PATH = "/fleet/caches"
 _RETRY_INTERVAL_S = 0.5
 _MAX_ENGINE_TRIES = 3
-# The first gateway of a domain may have started at the same moment.
+# More tries than at an engine, since the first gateway of the domain may have started
+# at the same time and may still be listing engines.
 _MAX_PEER_TRIES = 8
 _PEER_TIMEOUT_S = 1.0
 
@@ -28,12 +29,12 @@
 
 
 def choose_peer(members, now):
-    """Return the `Member` to ask for what engines hold, or None to ask engines."""
+    """Return the `Member` to request cache lists from, or None to list engines."""
     return None if members.is_mesh else members.find_senior(now)
 
 
 def create_caches_handler(state):
-    """Return the handler that gives peers the prompt parts that engines hold."""
+    """Return the handler that serves the prompt parts in engine caches to peers."""
 
     def handle(request, reply):
         if request.method != "GET":
@@ -46,15 +47,16 @@
 
 
 class CacheScout:
-    """Finds out for every new engine which prompt parts it holds.
+    """Discovers which prompt parts each new engine has cached.
 
     Parameters
     ----------
     list_parts : callable
-        Takes an address and returns the ids of the parts held there; raises
+        Takes the address of an engine and returns the ids of its cached parts; raises
         `PlatformUnavailable`.
     fetch : callable
-        Takes a peer's host and returns the body of its answer, or None.
+        Takes the host part of a peer's address and returns the body of its response,
+        or None.
     """
 
     def __init__(self, state, list_parts, fetch):
@@ -65,13 +67,13 @@
         self._seen_ids = set()
 
     def start(self, stopped):
-        """Ask in a thread of its own."""
+        """Start the thread that lists queued engines."""
         threading.Thread(
             target=self._run, args=(stopped,), name="caches", daemon=True
         ).start()
 
     def find_new(self):
-        """Queue engines that were not asked yet."""
+        """Queue ready engines that were not queued before."""
         catalog = self._state.catalog
         if catalog is None:
             return
@@ -86,10 +88,10 @@
                 self._queue_unless_warming(instance)
 
     def _queue_unless_warming(self, instance):
-        """Take a warming engine's cache as empty; ask the others for theirs.
+        """Record the cache of a warming engine as empty; queue other engines.
 
-        One that has just started has read nothing, and calls of every gateway at
-        once are what it bears least.
+        An engine that has just started has read nothing, and concurrent calls of all
+        gateways would overload it.
         """
         state = self._state
         now = state.clock()
@@ -99,7 +101,7 @@
             self._queue.put(instance)
 
     def ask_peer(self, peer, instances):
-        """Take in what a peer knows of some engines; return those it does not know."""
+        """Record the lists that a peer has; return the engines that it has none of."""
         data = self._fetch(peer.address.rpartition(":")[0])
         try:
             listed = _decoder.decode(data) if data is not None else {}
@@ -126,9 +128,9 @@
         return unknown
 
     def ask(self, instance):
-        """Take in what one engine holds; return whether that is settled."""
+        """List the cache of an engine; return False if it has to be tried again."""
         if self._state.directory.is_leaving(instance.id):
-            # Nothing will be sent there, and a list is a request too.
+            # The engine gets no more requests, and a list is a request too.
             return True
         if self._state.backoffs.is_active(instance.id, self._state.clock()):
             return False
@@ -156,12 +158,12 @@
             add_backoff(self._state, instance.id, seconds, status=exc.status)
 
     def discover_all(self, instances, wait):
-        """Learn what some engines hold, from a peer or from them.
+        """Record which parts the engines have cached, from a peer or by listing them.
 
         Parameters
         ----------
         wait : callable
-            Waits some seconds; returns whether the gateway stops.
+            Waits for the given seconds; returns whether the gateway is stopping.
         """
         for _ in range(_MAX_PEER_TRIES):
             peer = choose_peer(self._state.members, self._state.clock())
@@ -182,7 +184,7 @@
                 self.discover_all(instances, stopped.wait)
 
     def _take_queued(self):
-        """Return the engines that wait to be asked, once there are some."""
+        """Return all queued engines, or an empty list after a timeout."""
         try:
             instances = [self._queue.get(timeout=_RETRY_INTERVAL_S)]
         except queue.Empty:
@@ -193,7 +195,10 @@
 
 
 def create_fetch(address):
-    """Return a function that asks a host for its caches, on the port of ``address``."""
+    """Return a function that fetches cache lists from a host.
+
+    It uses the port of ``address``.
+    """
     port = address.rpartition(":")[2]
     pool = urllib3.PoolManager(num_pools=1, maxsize=1, retries=False)
 
@@ -203,7 +208,7 @@
         try:
             resp = pool.request("GET", url, timeout=_PEER_TIMEOUT_S)
         except urllib3.exceptions.HTTPError:
-            # The caller logs that the peer gave nothing.
+            # The caller logs the failure.
             return None
         return resp.data if resp.status == 200 else None
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/candidates.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/candidates.py
@@ -1,13 +1,17 @@
-"""Which instances may get a request, before the best of them is chosen."""
+"""Selection of the instances that may receive a request.
+
+`choice` then selects the best of them.
+"""
 
 from ..refusals import BUSY_RETRY, Refusal, limit_retry
 
-# Seconds, so that a client does not come back a moment too soon.
+# Lower bound of ``Retry-After``, so that a client does not retry just before an
+# instance is warm.
 _MIN_RETRY_S = 0.05
 
 
 def find_candidates(state, ctx, now):
-    """Return the instances that a request may go to, or the `Refusal`."""
+    """Return the instances that may receive a request, or the `Refusal`."""
     ready = state.directory.get_ready(ctx.service)
     if not ready:
         return Refusal(503, "no-upstream", retry_after=BUSY_RETRY)
@@ -27,18 +31,18 @@
     if not instances and not ready:
         return Refusal(503, "no-upstream", retry_after=BUSY_RETRY)
     if not instances:
-        # Instances that were set aside may still be better than none.
+        # An ejected instance may still be better than none.
         instances = _drop_without_permit(state, ctx, ready, now)
     return instances or _refuse_warming(state, ctx, ready, now)
 
 
 def may_receive(state, ctx, instance, now):
-    """Return whether the instance chosen may still get the request."""
+    """Return whether the chosen instance may still receive the request."""
     return find_obstacle(state, ctx, instance, now) is None
 
 
 def find_obstacle(state, ctx, instance, now):
-    """Return why the instance chosen may not get the request any more, or None."""
+    """Return why the chosen instance may no longer receive the request, or None."""
     if not state.directory.is_ready(instance.id):
         return "leaving"
     if instance.zone in state.evacuations.domains:
@@ -53,9 +57,9 @@
 
 
 def find_return(state, ctx, now):
-    """Return the seconds until a pause ends where all that may serve asked for one.
+    """Return the seconds until a client may retry, if all instances are backing off.
 
-    None where some instance takes work now, or none is there.
+    Return None if an instance accepts requests now or if there is no instance.
     """
     instances = _find_allowed(state, ctx)
     if not instances or _drop_backing_off(state, instances, now):
@@ -66,7 +70,10 @@
 
 
 def has_alternative(state, ctx, now, besides=None):
-    """Return whether an instance ``besides`` one and those tried takes work now."""
+    """Return whether another instance accepts requests now.
+
+    The instance ``besides`` and those that were already tried do not count.
+    """
     instances = _find_allowed(state, ctx)
     untried = [
         instance
@@ -77,7 +84,7 @@
 
 
 def take_permit(state, ctx, instance, now):
-    """Use up the permit that the choice of a warming instance rests on."""
+    """Use the permit under which a warming instance was chosen."""
     if not _needs_permit(state, ctx, instance, now):
         return
     if state.slow_start.use_permit(instance.id, _get_warm_rate(ctx), now):
@@ -85,7 +92,7 @@
 
 
 def get_allowed_regions(route, account):
-    """Return the regions in which a request may run, None for all."""
+    """Return the regions in which a request may run, None for all regions."""
     route_regions = route.regions
     if account is None or not account.regions:
         return route_regions or None
@@ -93,7 +100,7 @@
 
 
 def _find_allowed(state, ctx):
-    """Return the ready instances in allowed regions and domains that are in use."""
+    """Return the ready instances in allowed regions and domains not evacuated."""
     instances = _keep_allowed_regions(
         state, ctx, state.directory.get_ready(ctx.service)
     )
@@ -116,7 +123,7 @@
 
 
 def _may_send(state, instance, now):
-    """Return whether the instance asked for no pause that still keeps sends away."""
+    """Return whether no backoff prevents a request to the instance."""
     running = state.loads.get(instance.id, now).active
     return state.backoffs.may_send(instance.id, running, now)
 
@@ -138,7 +145,7 @@
 
 
 def _drop_without_permit(state, ctx, instances, now):
-    """Leave out warming instances for which this gateway has no permit."""
+    """Exclude warming instances for which this gateway has no permit."""
     slow_start = state.slow_start
     rate = _get_warm_rate(ctx)
     if not slow_start or rate <= 0.0:
@@ -161,10 +168,10 @@
 
 
 def _refuse_backing_off(state, instances, now):
-    """Return the `Refusal` where all that could serve asked for a pause.
+    """Return the `Refusal` for a request whose instances are all backing off.
 
-    The time to come back is not cut to what is left of the request's own: sooner would
-    only be refused again.
+    The retry time is not limited to the time left until the deadline of the request,
+    since an earlier retry would only be refused again.
     """
     ids = [instance.id for instance in instances]
     ends = [state.backoffs.get_end(instance_id) for instance_id in ids]
@@ -174,7 +181,7 @@
 
 
 def _refuse_warming(state, ctx, instances, now):
-    """Return the `Refusal` where all that could serve are warming up."""
+    """Return the `Refusal` for a request whose instances are all warming up."""
     ends = [state.slow_start.get_end(instance.id) for instance in instances]
     retry_after = limit_retry(ctx, max(_MIN_RETRY_S, min(ends) - now), now)
     inputs = {"warming": len(instances)}
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
@@ -1,4 +1,4 @@
-"""Which instance serves a request."""
+"""Choice of the instance that serves a request."""
 
 import functools
 from typing import NamedTuple
@@ -7,21 +7,22 @@
 
 from .cold_caches import Spread, choose_spread
 
-# Weight of a second of reading a cached prompt anew, against a second of waiting.
+# Weight of a second of reading cached prompt parts again, relative to a second of
+# waiting.
 _REREAD_WEIGHT = 3.5
-# Seconds for each place in the order: among idle instances the first one wins.
+# Added for each place in rendezvous order, so that the first of idle instances wins.
 _RANK_WAIT_S = 0.005
-# Instances weighed at first, and more at a time. Two would spread load nearly as
-# well as all with news that were never old; four leave room for slow ones.
+# Number of instances evaluated at first, and in each further step. If reports were
+# never stale, two would spread load nearly as well as all; four allow for slow ones.
 _BATCH_INSTANCE_COUNT = 4
-# Weight of a second of moving cached parts.
+# Weight of a second of transferring cached parts, relative to a second of waiting.
 _TRANSFER_WEIGHT = 16.0
-# Seconds that a move takes besides its bytes.
+# Fixed time of a transfer, in addition to the time for its bytes.
 _TRANSFER_BASE_S = 0.005
-# Tokens; what is less is read sooner than moved.
+# Fewer tokens are read faster than transferred.
 _MIN_TRANSFER_TOKENS = 500
 _MAX_HOLDERS = 4
-# Seconds for a plain call to another domain and back: two ways of 0.5 to 1.4 ms.
+# Round trip of a plain call to another domain: 0.5 to 1.4 ms in each direction.
 _REMOTE_ZONE_WAIT_S = 0.002
 # Multiplicative hashing: 2 ** 64 divided by the golden ratio, and odd.
 _HASH_MULTIPLIER = 0x9E3779B97F4A7C15
@@ -30,10 +31,11 @@
 
 
 class Choice(NamedTuple):
-    """An instance chosen, and what is expected there.
+    """A chosen instance, with the estimates for the request there.
 
-    ``tokens`` are those it has to read; ``wait`` is the time to the first
-    event and ``alone`` what that would be with nothing ahead, in seconds.
+    ``tokens`` is the number of tokens that the instance has to read, ``wait`` the time
+    until the first event and ``alone`` that time with an empty queue, in seconds.
+    ``source`` is the instance to transfer cached parts from, or None.
     """
 
     instance: object
@@ -64,23 +66,24 @@
 def choose_engine(
     prompt, instances, loads, now, engine=None, max_queue_wait=0.0, latency_target=None
 ):
-    """Return the `Choice` with the least wait and price, or None.
-
-    A shared part is taken as read where the instance, this gateway or a peer
-    has said so, and where nothing is known yet at the instance that rendezvous
-    hashing names, since all gateways prefer that one. Reading it anew costs
-    capacity that others wait for, so it weighs more than the time it takes;
-    taking it from an instance that holds it costs less.
-
-    What is known of the instances' work is some tens of milliseconds old, and
-    the same at every gateway. If each took the best of all, they would all send
-    to the same one until the next reports. So only a few are weighed, which
-    differ from prompt to prompt: the first in rendezvous order and those that
-    hold most of it. More are weighed only while the wait for others is longer
-    than ``max_queue_wait``, in seconds.
-
-    ``latency_target`` is the route's latency target in seconds, from which and the
-    engines' backlog follows how far prompts are spread; see `cold_caches`.
+    """Return the `Choice` with the lowest sum of wait and cost, or None.
+
+    A shared part is assumed to be cached if the instance, this gateway or a peer has
+    reported it. It is also assumed to be cached at the home instance, the first in
+    rendezvous order, while that instance's cache has not been listed, since all
+    gateways prefer the home instance. Reading a part again uses capacity that other
+    requests wait for, so it is weighted higher than its duration. Transferring the
+    part from an instance that holds it costs less.
+
+    The reported load of the instances is some tens of milliseconds old and the same at
+    every gateway. If each gateway chose the best of all instances, all would send to
+    the same one until the next reports. Therefore only a few instances are evaluated,
+    which differ between prompts: the first in rendezvous order and those that hold the
+    most tokens of the prompt. Further instances are evaluated only while the shortest
+    queue wait is longer than ``max_queue_wait`` seconds.
+
+    ``latency_target`` is the latency target of the route in seconds. Together with the
+    backlog of the engines it determines how far prompts are spread; see `cold_caches`.
     """
     ranked = rank_instances(prompt.home or prompt.own_id, instances)
     held = loads.count_held(prompt.shared, now)
@@ -131,12 +134,15 @@
 
 
 def _get_min_queue_wait(candidates):
-    """Return the least time that a request waits for others, in seconds."""
+    """Return the shortest time in seconds that the request waits in a queue."""
     return min(candidate.wait - candidate.alone for candidate in candidates)
 
 
 class _Candidate(NamedTuple):
-    """An instance weighed; times in seconds, ``source`` to take parts from."""
+    """An evaluated instance; times are in seconds.
+
+    ``source`` is the instance to transfer cached parts from, or None.
+    """
 
     instance: object
     unread: int
@@ -165,7 +171,8 @@
     alone = loads.estimate_alone(load, unread) + transfer
     reread = max(0, unread - prompt.own)
     if rank == 0:
-        # What no engine holds has to be read once, and all gateways look for it here.
+        # Parts that no engine holds have to be read once, and all gateways expect them
+        # at this engine.
         reread = max(0, reread - home_discount)
     cost = _REREAD_WEIGHT * reread / loads.rate + _TRANSFER_WEIGHT * transfer
     score = wait + cost + _RANK_WAIT_S * rank
@@ -174,9 +181,10 @@
 
 
 def find_holders(held, instances, engine):
-    """Return (instance, tokens held), the most first, where parts can be moved.
+    """Return pairs (instance, tokens held), the most tokens first.
 
-    Nothing is assumed here: what is taken from an instance must be known.
+    The list is empty if engines cannot transfer parts. Only reported parts count, no
+    assumed ones, since a transfer source has to hold the parts.
     """
     if not held or engine is None or engine.link_rate <= 0.0:
         return []
@@ -187,9 +195,9 @@
 
 
 def pick_source(instance, cached, holders):
-    """Return the (instance, tokens) to take parts from, or None to read them.
+    """Return the (instance, tokens) to transfer parts from, or None to read them.
 
-    Of those that hold most, one in the same failure domain goes first.
+    Of the holders of the most tokens, one in the same failure domain is preferred.
     """
     better = [holder for holder in holders if holder[1] > cached + _MIN_TRANSFER_TOKENS]
     if not better:
@@ -202,7 +210,10 @@
 
 
 def estimate_transfer(tokens, remote, engine):
-    """Return seconds to take cached tokens over, twice as long between domains."""
+    """Return the seconds that a transfer of cached tokens takes.
+
+    The bytes take twice as long between domains.
+    """
     seconds = tokens * engine.token_bytes / engine.link_rate
     return _TRANSFER_BASE_S + seconds * (2.0 if remote else 1.0)
 
@@ -210,8 +221,9 @@
 def choose_instance(instances, loads, zone, now, rng):
     """Return the `Choice` among instances of a plain service, or None.
 
-    The one expected to answer first goes first, among those with free places the
-    least loaded; equal ones by chance, so that gateways do not all pick the same.
+    It is the instance that is expected to respond first, and among instances with free
+    slots the least loaded one. Ties are broken at random, so that gateways do not all
+    choose the same instance.
     """
     best = None
     for instance in instances:
@@ -219,7 +231,7 @@
         utilisation = (load.active + load.remote_active) / max(1, instance.slots)
         remote = _REMOTE_ZONE_WAIT_S if instance.zone != zone else 0.0
         wait = loads.estimate_call(load, instance.slots) + remote
-        # Some become slower when nearly full.
+        # Some instances become slower when nearly all their slots are in use.
         score = (wait + utilisation * loads.call_time, rng.random())
         if best is None or score < best[0]:
             best = (score, instance, wait)
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
@@ -1,10 +1,9 @@
-"""Failure domains that are probably cut off from this gateway.
+"""Detection of failure domains that this gateway probably cannot reach.
 
-All gateways of a domain silent at once may mean that they are down, or that
-the domain is cut off. A failed connection to an instance there tells the two
-apart, and one is enough: its other instances are then avoided while the silence
-lasts. A prober connects as soon as there is silence, so that no request has to
-find out.
+If no gateway of a domain sends reports, either these gateways are down or the domain is
+unreachable. One failed connection to an instance of the domain distinguishes the two
+cases; the other instances are then avoided while the domain stays silent. A prober
+connects as soon as a domain is silent, so that no request has to fail first.
 """
 
 import threading
@@ -12,14 +11,14 @@
 from ..transport.sockets import connect_blocking
 
 PROBE_CHECK_S = 0.3
-# Within the evidence's lifetime, so that a failed probe counts until the next one.
+# Shorter than the lifetime of a failure, so that a failed probe counts until the next.
 _PROBE_INTERVAL_S = 1.0
 _PROBE_TIMEOUT_S = 0.2
 _EVIDENCE_LIFETIME_S = 3.0
 
 
 class Domains:
-    """Evidence of failed sends, by failure domain."""
+    """Time of the last failed connection to each failure domain."""
 
     def __init__(self, own):
         self._own = own
@@ -27,19 +26,19 @@
         self._failed_at = {}
 
     def note_failure(self, domain, now):
-        """Note that an instance of the domain could not be reached."""
+        """Record that an instance of the domain could not be reached."""
         if domain != self._own:
             with self._lock:
                 self._failed_at[domain] = now
 
     def note_success(self, domain):
-        """Note an answer from an instance of the domain."""
+        """Record a response from an instance of the domain."""
         if domain in self._failed_at:
             with self._lock:
                 self._failed_at.pop(domain, None)
 
     def get_cut(self, silent, now):
-        """Return the domains among ``silent`` ones that are probably cut off."""
+        """Return those of the ``silent`` domains that are probably unreachable."""
         if not self._failed_at or not silent:
             return frozenset()
         with self._lock:
@@ -51,7 +50,7 @@
 
 
 class DomainProber:
-    """Connects to an instance of each domain that has fallen silent."""
+    """Connects to an instance of each silent domain."""
 
     def __init__(self, state, connect=connect_blocking):
         self._state = state
@@ -59,7 +58,7 @@
         self._probed_at = {}
 
     def probe(self):
-        """Probe each silent domain that is due, and record the result."""
+        """Probe each silent domain whose interval has passed; record the results."""
         state = self._state
         now = state.clock()
         silent = state.members.get_silent_domains(now)
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
@@ -1,9 +1,9 @@
-"""What each engine has to do, as far as this gateway and its peers know.
+"""Load of each instance, from this gateway's requests and the reports of its peers.
 
-An engine reads prompts one after the other between the steps of running
-requests, so the wait for a first event follows from the prompt tokens sent
-there and not read yet. The reading rate is not declared anywhere: it is
-learned from how long first events took.
+An engine reads prompts one after the other between the steps of running requests, so
+the wait for the first event follows from the number of prompt tokens that were sent to
+it and not read yet. No setting declares the read rate: it is estimated from the
+measured times to first events.
 """
 
 import collections
@@ -19,8 +19,7 @@
 _INITIAL_BASE_S = 0.05
 _BASE_EWMA_ALPHA = 0.02
 _MIN_SAMPLE_TOKENS = 1_500
-# Seconds that a plain call takes to begin with, and the part of the mean that a new
-# figure makes up.
+# Service time of a plain call before the first sample.
 _INITIAL_CALL_TIME_S = 0.05
 _CALL_TIME_EWMA_ALPHA = 0.1
 _CACHE_LIFETIME_S = 60.0
@@ -32,9 +31,12 @@
 
 
 class Loads:
-    """Work and condition of every instance, and where prompt parts were read.
+    """Load and health of every instance, and which instances read which prompt parts.
 
-    All methods may be called from any thread; ``now`` is on the steady clock.
+    All methods may be called from any thread; ``now`` is on the monotonic clock.
+    ``rate`` is the estimated read rate in tokens per second, ``base`` the estimated
+    time to the first event without reading and ``call_time`` the mean service time of
+    plain calls, in seconds.
     """
 
     def __init__(self):
@@ -42,7 +44,7 @@
         self._by_id = {}
         self._holders_by_digest = {}
         self._listed_ids = set()
-        # Rises when this gateway's own work changes.
+        # Increases whenever the load from this gateway's own requests changes.
         self.version = 0
         self.rate = _INITIAL_RATE_TOKENS_PER_S
         self.base = _INITIAL_BASE_S
@@ -56,7 +58,7 @@
         return load
 
     def forget(self, instance_id):
-        """Drop what is known of an instance that is gone."""
+        """Remove an instance that no longer exists."""
         with self._lock:
             self.version += 1
             self._by_id.pop(instance_id, None)
@@ -65,12 +67,15 @@
                 holders.pop(instance_id, None)
 
     def is_cached(self, part_id, instance_id, now):
-        """Return whether the instance has probably read the part lately."""
+        """Return whether the instance has probably cached the part."""
         at = self._holders_by_digest.get(get_digest(part_id), {}).get(instance_id)
         return at is not None and now - at < _CACHE_LIFETIME_S
 
     def count_held(self, parts, now):
-        """Return {instance id: tokens} of the leading parts probably held there."""
+        """Return {instance id: tokens} of the leading parts that are probably cached.
+
+        A cached part can be reused only if all parts before it are cached, too.
+        """
         held = {}
         leading = None
         oldest = now - _CACHE_LIFETIME_S
@@ -92,17 +97,17 @@
         return held
 
     def is_listed(self, instance_id):
-        """Return whether it is known what the instance held at some time."""
+        """Return whether the cache of the instance was listed at some time."""
         return instance_id in self._listed_ids
 
     def record_listed(self, instance_id, digests, now):
-        """Note which parts the instance says that it holds."""
+        """Record the parts in a list of the instance's cache."""
         for digest in digests:
             self.note_digest(digest, instance_id, now)
         self._listed_ids.add(instance_id)
 
     def get_listed(self, now):
-        """Return {instance digest: part digests} of the instances that were listed."""
+        """Return {instance digest: cached part digests} of all listed instances."""
         oldest = now - _CACHE_LIFETIME_S
         with self._lock:
             listed = {instance_id: [] for instance_id in self._listed_ids}
@@ -113,27 +118,30 @@
         return {get_digest(instance_id): parts for instance_id, parts in listed.items()}
 
     def note_parts(self, parts, instance_id, now):
-        """Note that the instance reads these parts."""
+        """Record that the instance reads these parts."""
         for part in parts:
             self.note_digest(get_digest(part.id), instance_id, now)
 
     def note_digest(self, digest, instance_id, now):
-        """Note that the instance reads the part with this digest."""
+        """Record that the instance reads the part with this digest."""
         with self._lock:
             self._holders_by_digest.setdefault(digest, {})[instance_id] = now
             while len(self._holders_by_digest) > _MAX_PARTS:
                 self._holders_by_digest.pop(next(iter(self._holders_by_digest)))
 
     def estimate_wait(self, load, tokens):
-        """Return seconds until a request with ``tokens`` to read gives an event."""
+        """Return the seconds until the first event of a request.
+
+        ``tokens`` is the number of its tokens that the instance has to read.
+        """
         return self.estimate_alone(load, load.unread + load.remote_unread + tokens)
 
     def estimate_alone(self, load, tokens):
-        """Return the same for an instance that has nothing else to read."""
+        """Return the same for an instance with an empty queue."""
         return self.base + load.slowness * tokens / self.rate
 
     def estimate_backlog(self, instances, now):
-        """Return the mean seconds that instances have to read already."""
+        """Return the mean time in seconds to read the queued tokens of an instance."""
         if not instances:
             return 0.0
         loads = [self.get(row.id, now) for row in instances]
@@ -141,9 +149,9 @@
         return unread / len(loads) / self.rate
 
     def estimate_call(self, load, slots):
-        """Return seconds that a plain call takes at an instance with ``slots``.
+        """Return the seconds that a plain call takes at an instance with ``slots``.
 
-        Calls beyond the slots wait for one, in order of arrival.
+        Calls in excess of the slots wait for a free one in order of arrival.
         """
         service_time = self.call_time if load.call_time is None else load.call_time
         return service_time * _compute_queue_factor(
@@ -151,7 +159,7 @@
         )
 
     def note_call(self, work, slots, elapsed):
-        """Learn from the time that a plain call took."""
+        """Update the mean service times with the duration of a plain call."""
         service_time = elapsed / _compute_queue_factor(work.running, slots)
         with self._lock:
             load = self._by_id.get(work.instance_id)
@@ -162,7 +170,7 @@
             load.call_time = mean + _CALL_TIME_EWMA_ALPHA * (service_time - mean)
 
     def start(self, instance_id, tokens, now):
-        """Note a request sent; return its `Work`."""
+        """Record that a request was sent; return its `Work`."""
         with self._lock:
             load = self.get(instance_id, now)
             if load.active == 0:
@@ -177,13 +185,13 @@
             return Work(instance_id, tokens, ahead, running, now)
 
     def note_head(self, instance_id, now):
-        """Note that the head of an answer has come."""
+        """Record that the head of a response has arrived."""
         load = self._by_id.get(instance_id)
         if load is not None:
             load.answered = now
 
     def note_progress(self, work, now):
-        """Note that something of the answer has come."""
+        """Record that a part of the response has arrived."""
         load = self.get(work.instance_id, now)
         load.last_activity = now
         if work.is_prompt_read:
@@ -194,11 +202,11 @@
             self._update_rate(work, load, work.first)
 
     def finish(self, work, now):
-        """Note the end of a request, whatever it was."""
+        """Record the end of a request, with or without a response."""
         with self._lock:
             load = self._by_id.get(work.instance_id)
             if load is None:
-                # The instance is gone.
+                # The instance was removed meanwhile.
                 return
             load.active = max(0, load.active - 1)
             self.version += 1
@@ -206,7 +214,7 @@
                 self._mark_prompt_read(work, load)
 
     def note_success(self, instance_id, now):
-        """Note a whole answer; return whether it ended an ejection."""
+        """Record a complete response; return whether it ended an ejection."""
         load = self.get(instance_id, now)
         ended = load.ejected_until > 0.0
         load.errors = 0
@@ -217,7 +225,10 @@
         return ended
 
     def note_error(self, instance_id, now, severe=False):
-        """Note a failure; return the pause in seconds if it ejects, or None."""
+        """Record a failure; return the ejection time in seconds, or None.
+
+        Consecutive failures, a ``severe`` one or one of a probe eject the instance.
+        """
         load = self.get(instance_id, now)
         load.errors += 1
         if load.errors < _EJECTION_ERROR_COUNT and not load.probing and not severe:
@@ -233,30 +244,30 @@
         return ejection
 
     def note_replaced(self, instance_id, now):
-        """Note that another instance has the address; this one is gone."""
+        """Eject an instance whose address now belongs to another instance."""
         load = self.get(instance_id, now)
         load.ejected_until = now + _MAX_EJECTION_S
         load.probing = False
 
     def note_released(self, instance_id, now):
-        """Note an end that tells nothing about the instance."""
+        """Record that a request ended without evidence on the instance's health."""
         self.get(instance_id, now).probing = False
 
     def pick_usable(self, instances, now):
-        """Return the instances that are neither set aside nor silent, if any."""
+        """Return the usable instances; stalled ones only if all are stalled."""
         usable = [row for row in instances if self.is_usable(row.id, now)]
         responsive = [row for row in usable if not self.is_stalled(row.id, now)]
         return responsive or usable
 
     def is_usable(self, instance_id, now):
-        """Return whether a request may go there."""
+        """Return whether the instance is not ejected or may get a probe request."""
         load = self.get(instance_id, now)
         if load.ejected_until:
             return now >= load.ejected_until and not load.probing
         return True
 
     def is_stalled(self, instance_id, now):
-        """Return whether requests run there and nothing has come for long."""
+        """Return whether requests run there and no data has arrived for too long."""
         load = self.get(instance_id, now)
         if load.active == 0:
             return False
@@ -264,7 +275,7 @@
         return now - load.last_activity > max(_MIN_STALL_S, 2.0 * expected)
 
     def get_report(self):
-        """Return {instance id: (unread, active)} of this gateway's own work."""
+        """Return {instance id: (unread, active)} of this gateway's own requests."""
         with self._lock:
             return {
                 instance_id: (load.unread, load.active)
@@ -273,7 +284,7 @@
             }
 
     def set_remote(self, totals, now):
-        """Take in the sums of what the peers report."""
+        """Set the sums of the loads that the peers report."""
         with self._lock:
             for instance_id, load in self._by_id.items():
                 unread, active = totals.get(instance_id, (0, 0))
@@ -290,7 +301,7 @@
 
     def _update_rate(self, work, load, elapsed):
         if work.tokens == 0:
-            # A plain call; what it takes says nothing of engines.
+            # The time of a plain call is no sample of an engine's read rate.
             return
         total = work.ahead + work.tokens
         reading = elapsed - self.base
@@ -307,12 +318,15 @@
 
 
 def _compute_queue_factor(running, slots):
-    """Return how many times its own time a call takes behind ``running`` others."""
+    """Return the ratio of a call's time to its service time.
+
+    The call is queued behind ``running`` others.
+    """
     return max(1.0, (running + 1) / max(1, slots))
 
 
 class Reads:
-    """Prompt parts that an instance reads for the first time, for the peers."""
+    """Prompt parts that instances read for the first time, to be reported to peers."""
 
     def __init__(self):
         self._rows = collections.deque(maxlen=_MAX_READS)
@@ -321,12 +335,12 @@
         return len(self._rows)
 
     def add(self, instance_id, parts):
-        """Note that the instance reads these parts."""
+        """Add the parts that an instance reads."""
         for part in parts:
             self._rows.append((get_digest(instance_id), get_digest(part.id)))
 
     def take(self):
-        """Return and forget every row."""
+        """Return and remove all reads."""
         rows = []
         while self._rows:
             rows.append(self._rows.popleft())
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/prompts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/prompts.py
@@ -1,17 +1,17 @@
-"""What a model request says of its prompt: token counts and shared parts."""
+"""Description of a prompt in a model request: token counts and shared parts."""
 
 from typing import NamedTuple
 
 
 class Part(NamedTuple):
-    """A part of a prompt; requests with the same id share what was read."""
+    """A part of a prompt. An engine that has cached it need not read it again."""
 
     id: str
     tokens: int
 
 
 class Prompt(NamedTuple):
-    """A prompt as the client describes it. The last part is its own."""
+    """A prompt as the client describes it. The last part is not shared."""
 
     tokens: int
     max_output: int
@@ -19,12 +19,15 @@
 
     @property
     def home(self):
-        """Return the id of the last shared part, or "" where none is shared."""
+        """Return the id of the last shared part, or "" if there is none.
+
+        It is the key of rendezvous hashing that selects the home instance.
+        """
         return self.parts[-2].id if len(self.parts) > 1 else ""
 
     @property
     def own_id(self):
-        """Return the id of the part that is not shared, or "" for none."""
+        """Return the id of the part that is not shared, or "" if there is none."""
         return self.parts[-1].id if self.parts else ""
 
     @property
@@ -34,17 +37,17 @@
 
     @property
     def own(self):
-        """Return the tokens that no other request shares."""
+        """Return the number of tokens that no other request shares."""
         return self.parts[-1].tokens if self.parts else self.tokens
 
     @property
     def cost(self):
-        """Return the tokens charged to the account: an output token counts twice."""
+        """Return the tokens charged to the account; output tokens count twice."""
         return self.tokens + 2 * self.max_output
 
 
 def parse_prompt(counts, parts):
-    """Return the `Prompt` in two header texts, or None where there is none.
+    """Return the `Prompt` from two header values, or None if missing or malformed.
 
     Parameters
     ----------
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/slowstart.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/slowstart.py
@@ -1,38 +1,37 @@
-"""Slow start: what may be sent to upstreams that have just come into use.
-
-A warming upstream bears few requests a second and fails beyond that, while it
-looks best to every gateway at once, being idle. Gateways cannot count each other's
-sends within a second, so each draws at random the times of permits to send one
-request there, at a rate that is its even part of a fleet-wide mean. All permits
-together are then a Poisson process of that mean, however gateways come and go or
-differ in what they know: one that is cut off or gone only leaves its part unused,
-and none has to be heard from.
-
-The mean is so far below the bound that a second goes beyond it once in a million,
-with every permit used: 2.6 a second where the bound is 14.
+"""Slow start: a fleet-wide limit on requests to upstreams that are new in use.
+
+A warming upstream handles only a few requests per second and fails beyond that, while
+it looks best to all gateways at the same time because it is idle. Gateways cannot count
+each other's requests within a second. Each gateway therefore draws random times at
+which it gets a permit to send one request, at an equal share of a fleet-wide mean rate.
+All permits together form a Poisson process with that mean, however gateways join, leave
+or differ in their state. A gateway that is unreachable or stopped only leaves its share
+unused, and gateways need no messages from each other.
+
+The mean is so far below the bound that one second in a million exceeds the bound if all
+permits are used: 2.6 per second for a bound of 14.
 """
 
 import functools
 import math
 
-# Chance that one second's permits go beyond the bound.
+# Probability that the permits of one second exceed the bound.
 _EXCESS_PROBABILITY = 1e-6
 _BISECTION_COUNT = 40
-# Seconds in which a permit must be used. Longer ones would let what was not used in one
-# second be sent in the next.
+# With a longer lifetime, unused permits of one second could be used in the next.
 _PERMIT_LIFETIME_S = 0.25
-# Seconds after the start in which the size of the fleet may not be known yet.
+# Time after the start during which the size of the fleet may still be unknown.
 _MEMBERSHIP_WAIT_S = 2.0
 
 
 class SlowStart:
-    """Which instances warm up, and when this gateway may send to each.
+    """The warming instances, and the permits of this gateway to send to them.
 
     Parameters
     ----------
     rng : random.Random
     count_gateways : callable
-        Returns how many gateways there are, or None while that is not known.
+        Returns the number of gateways, or None while it is unknown.
     bound : settings.SlowStart
     """
 
@@ -40,7 +39,7 @@
         self._rng = rng
         self._count_gateways = count_gateways
         self._bound = bound
-        # Until when each warms up, on the steady clock.
+        # End of each warm-up, on the monotonic clock.
         self._end_times = {}
         self._permit_times = {}
 
@@ -48,26 +47,29 @@
         return len(self._end_times)
 
     def note(self, instance_id, until, now):
-        """Note that an instance warms up; return whether that is news."""
+        """Mark an instance as warming; return whether it was not before.
+
+        A warm-up already recorded is never shortened.
+        """
         is_new = not self.is_warming(instance_id, now)
         self._end_times[instance_id] = max(until, self.get_end(instance_id))
         return is_new
 
     def forget(self, instance_id):
-        """Note that an instance is warm, or gone; return whether it was warming."""
+        """Remove an instance that is warm or gone; return whether it was present."""
         self._permit_times.pop(instance_id, None)
         return self._end_times.pop(instance_id, None) is not None
 
     def is_warming(self, instance_id, now):
-        """Return whether sends to the instance need a permit."""
+        """Return whether requests to the instance need a permit."""
         return self.get_end(instance_id) > now
 
     def get_end(self, instance_id):
-        """Return when the instance is warm (steady clock), 0 where it always was."""
+        """Return the end of the warm-up (monotonic clock), 0 if there was none."""
         return self._end_times.get(instance_id, 0.0)
 
     def take_ended(self, now):
-        """Return and forget the ids of instances whose time of warming up is over."""
+        """Return and remove the ids of instances whose warm-up has ended."""
         ended = [name for name, until in self._end_times.items() if now >= until]
         for name in ended:
             self.forget(name)
@@ -79,7 +81,7 @@
         Parameters
         ----------
         rate : float
-            Requests a second that the instance bears while it warms up.
+            Requests per second that the instance can handle while warming.
         """
         at = self._permit_times.get(instance_id)
         if at is None or now > at + _PERMIT_LIFETIME_S:
@@ -87,14 +89,14 @@
         return at is not None and at <= now
 
     def use_permit(self, instance_id, rate, now):
-        """Use the permit for one send; return whether there was one."""
+        """Use the permit to send one request; return whether there was one."""
         if not self.has_permit(instance_id, rate, now):
             return False
         self._draw_permit_time(instance_id, rate, now)
         return True
 
     def _draw_permit_time(self, instance_id, rate, now):
-        """Draw the next permit's time, passing over those that nobody came for."""
+        """Draw the time of the next permit; expired permits are skipped."""
         mean = self._compute_own_rate(rate)
         if mean is None:
             return None
@@ -113,9 +115,9 @@
 
 @functools.cache
 def compute_poisson_mean(bound):
-    """Return the mean of a Poisson count that rarely goes beyond ``bound``.
+    """Return the mean of a Poisson distribution that rarely exceeds ``bound``.
 
-    By Chernoff's inequality, which errs on the safe side.
+    It follows from the Chernoff bound, which overestimates the probability.
     """
     min_excess = math.floor(bound) + 1
     low, high = 0.0, float(min_excess)
@@ -131,10 +133,11 @@
 
 
 def create_gateway_count(state):
-    """Return a function that counts the fleet, for `SlowStart`.
+    """Return the function that counts the gateways of the fleet, for `SlowStart`.
 
-    A gateway that has just started may know nobody and would take the whole rate
-    for itself; it waits until it has read the list of members, or heard reports.
+    A gateway that has just started may have no other members in its list, and would use
+    the whole rate itself. The function therefore returns None until the gateway has
+    read the list of members, or has run long enough to receive reports of others.
     """
     started = state.clock()
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/work.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/work.py
@@ -1,11 +1,17 @@
-"""Work of one instance, and one request's part of it."""
+"""Load of one instance, and the records of single requests at it."""
 
-# Seconds for which an instance is set aside first; each next time is twice as long.
+# Time of the first ejection; each following one is twice as long.
 INITIAL_EJECTION_S = 0.7
 
 
 class InstanceLoad:
-    """Work of one instance. Tokens are prompt tokens not read yet."""
+    """Load and health of one instance.
+
+    ``unread`` and ``remote_unread`` count the prompt tokens that the instance has not
+    read yet, ``active`` and ``remote_active`` the requests in flight there, from this
+    gateway and from its peers. ``slowness`` is the factor by which the instance reads
+    more slowly than the mean.
+    """
 
     __slots__ = (
         "active",
@@ -28,19 +34,24 @@
         self.active = 0
         self.remote_active = 0
         self.last_activity = now
-        # When the head of its last answer came, None for never.
+        # Time of the last response head, None if there was none.
         self.answered = None
         self.errors = 0
         self.next_ejection = INITIAL_EJECTION_S
         self.ejected_until = 0.0
         self.probing = False
         self.slowness = 1.0
-        # Seconds that a plain call takes here with a place of its own.
+        # Mean service time of plain calls in seconds, None before the first.
         self.call_time = None
 
 
 class Work:
-    """One request at an instance, from its send to its end."""
+    """One request at an instance, from sending it to its end.
+
+    ``ahead`` is the number of unread tokens and ``running`` the number of requests that
+    were at the instance before it; ``sent`` is the time of sending and ``first`` the
+    seconds until the first data of the response.
+    """
 
     __slots__ = (
         "ahead",
