--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
@@ -14,7 +14,7 @@
 # Shorter than the lifetime of a failure, so that a failed probe counts until the next.
 _PROBE_INTERVAL_S = 1.0
 _PROBE_TIMEOUT_S = 0.2
-_EVIDENCE_LIFETIME_S = 3.0
+_FAILURE_LIFETIME_S = 3.0
 
 
 class Domains:
@@ -45,7 +45,7 @@
             return frozenset(
                 domain
                 for domain, at in self._failed_at.items()
-                if domain in silent and now - at < _EVIDENCE_LIFETIME_S
+                if domain in silent and now - at < _FAILURE_LIFETIME_S
             )
 
 
