--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
@@ -84,8 +84,8 @@
             if not holders:
                 break
             if leading is None:
-                rows = list(holders.items())
-                leading = [instance_id for instance_id, at in rows if at > oldest]
+                items = list(holders.items())
+                leading = [instance_id for instance_id, at in items if at > oldest]
             else:
                 leading = [
                     instance_id
@@ -144,7 +144,7 @@
         """Return the mean time in seconds to read the queued tokens of an instance."""
         if not instances:
             return 0.0
-        loads = [self.get(row.id, now) for row in instances]
+        loads = [self.get(instance.id, now) for instance in instances]
         unread = sum(load.unread + load.remote_unread for load in loads)
         return unread / len(loads) / self.rate
 
@@ -255,8 +255,12 @@
 
     def pick_usable(self, instances, now):
         """Return the usable instances; stalled ones only if all are stalled."""
-        usable = [row for row in instances if self.is_usable(row.id, now)]
-        responsive = [row for row in usable if not self.is_stalled(row.id, now)]
+        usable = [
+            instance for instance in instances if self.is_usable(instance.id, now)
+        ]
+        responsive = [
+            instance for instance in usable if not self.is_stalled(instance.id, now)
+        ]
         return responsive or usable
 
     def is_usable(self, instance_id, now):
@@ -329,19 +333,19 @@
     """Prompt parts that instances read for the first time, to be reported to peers."""
 
     def __init__(self):
-        self._rows = collections.deque(maxlen=_MAX_READS)
+        self._reads = collections.deque(maxlen=_MAX_READS)
 
     def __len__(self):
-        return len(self._rows)
+        return len(self._reads)
 
     def add(self, instance_id, parts):
         """Add the parts that an instance reads."""
         for part in parts:
-            self._rows.append((get_digest(instance_id), get_digest(part.id)))
+            self._reads.append((get_digest(instance_id), get_digest(part.id)))
 
     def take(self):
         """Return and remove all reads."""
-        rows = []
-        while self._rows:
-            rows.append(self._rows.popleft())
-        return rows
+        reads = []
+        while self._reads:
+            reads.append(self._reads.popleft())
+        return reads
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/slowstart.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/slowstart.py
@@ -46,13 +46,13 @@
     def __len__(self):
         return len(self._end_times)
 
-    def note(self, instance_id, until, now):
+    def note(self, instance_id, end_time, now):
         """Mark an instance as warming; return whether it was not before.
 
         A warm-up already recorded is never shortened.
         """
         is_new = not self.is_warming(instance_id, now)
-        self._end_times[instance_id] = max(until, self.get_end(instance_id))
+        self._end_times[instance_id] = max(end_time, self.get_end(instance_id))
         return is_new
 
     def forget(self, instance_id):
@@ -70,9 +70,13 @@
 
     def take_ended(self, now):
         """Return and remove the ids of instances whose warm-up has ended."""
-        ended = [name for name, until in self._end_times.items() if now >= until]
-        for name in ended:
-            self.forget(name)
+        ended = [
+            instance_id
+            for instance_id, end_time in self._end_times.items()
+            if now >= end_time
+        ]
+        for instance_id in ended:
+            self.forget(instance_id)
         return ended
 
     def has_permit(self, instance_id, rate, now):
@@ -83,10 +87,10 @@
         rate : float
             Requests per second that the instance can handle while warming.
         """
-        at = self._permit_times.get(instance_id)
-        if at is None or now > at + _PERMIT_LIFETIME_S:
-            at = self._draw_permit_time(instance_id, rate, now)
-        return at is not None and at <= now
+        permit_time = self._permit_times.get(instance_id)
+        if permit_time is None or now > permit_time + _PERMIT_LIFETIME_S:
+            permit_time = self._draw_permit_time(instance_id, rate, now)
+        return permit_time is not None and permit_time <= now
 
     def use_permit(self, instance_id, rate, now):
         """Use the permit to send one request; return whether there was one."""
@@ -100,17 +104,19 @@
         mean = self._compute_own_rate(rate)
         if mean is None:
             return None
-        at = self._permit_times.get(instance_id, now)
-        at = max(at, now - _PERMIT_LIFETIME_S) + self._rng.expovariate(mean)
-        self._permit_times[instance_id] = at
-        return at
+        permit_time = self._permit_times.get(instance_id, now)
+        permit_time = max(
+            permit_time, now - _PERMIT_LIFETIME_S
+        ) + self._rng.expovariate(mean)
+        self._permit_times[instance_id] = permit_time
+        return permit_time
 
     def _compute_own_rate(self, rate):
-        gateways = self._count_gateways()
-        if gateways is None:
+        gateway_count = self._count_gateways()
+        if gateway_count is None:
             return None
         max_rate = rate * self._bound.factor + self._bound.slack
-        return min(rate, compute_poisson_mean(max_rate)) / gateways
+        return min(rate, compute_poisson_mean(max_rate)) / gateway_count
 
 
 @functools.cache
