--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
@@ -10,7 +10,7 @@
 import threading
 
 from ..digests import get_digest
-from .work import INITIAL_EJECTION_S, InstanceLoad, Work
+from .instance_loads import INITIAL_EJECTION_S, InstanceLoad, Work
 
 _INITIAL_RATE_TOKENS_PER_S = 30_000.0
 _MIN_RATE_TOKENS_PER_S = 2_000.0
