--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
@@ -1,4 +1,4 @@
-"""Which instance serves a request."""
+"""Choice of the instance that serves a request."""
 
 import functools
 from typing import NamedTuple
@@ -7,33 +7,35 @@
 
 from .cold_caches import Spread, choose_spread
 
-# Weight of a second of reading a cached prompt anew, against a second of waiting.
+# Weight of a second of reading cached prompt parts again, relative to a second of
+# waiting.
 _REREAD_WEIGHT = 3.5
-# Seconds for each place in the order: among idle instances the first one wins.
-_RANK_WAIT = 0.005
-# Instances weighed at first, and more at a time. Two would spread load nearly as
-# well as all with news that were never old; four leave room for slow ones.
-_WIDTH = 4
-# Weight of a second of moving cached parts.
-_MOVE_WEIGHT = 16.0
-# Seconds that a move takes besides its bytes.
-_MOVE_BASE = 0.005
-# Tokens; what is less is read sooner than moved.
-_MIN_MOVE = 500
+# Added for each place in rendezvous order, so that the first of idle instances wins.
+_RANK_WAIT_S = 0.005
+# Number of instances evaluated at first, and in each further step. If reports were
+# never stale, two would spread load nearly as well as all; four allow for slow ones.
+_BATCH_INSTANCE_COUNT = 4
+# Weight of a second of transferring cached parts, relative to a second of waiting.
+_TRANSFER_WEIGHT = 16.0
+# Fixed time of a transfer, in addition to the time for its bytes.
+_TRANSFER_BASE_S = 0.005
+# Fewer tokens are read faster than transferred.
+_MIN_TRANSFER_TOKENS = 500
 _MAX_HOLDERS = 4
-# Seconds for a plain call to another domain and back: two ways of 0.5 to 1.4 ms.
-_REMOTE_ZONE_WAIT = 0.002
+# Round trip of a plain call to another domain: 0.5 to 1.4 ms in each direction.
+_REMOTE_ZONE_WAIT_S = 0.002
 # Multiplicative hashing: 2 ** 64 divided by the golden ratio, and odd.
-_MIXER = 0x9E3779B97F4A7C15
-_MASK = (1 << 64) - 1
-_SEEDS = 8_192
+_HASH_MULTIPLIER = 0x9E3779B97F4A7C15
+_HASH_MASK = (1 << 64) - 1
+_MAX_CACHED_HASHES = 8_192
 
 
 class Choice(NamedTuple):
-    """An instance chosen, and what is expected there.
+    """A chosen instance, with the estimates for the request there.
 
-    ``tokens`` are those it has to read; ``wait`` is the time to the first
-    event and ``alone`` what that would be with nothing ahead, in seconds.
+    ``tokens`` is the number of tokens that the instance has to read, ``wait`` the time
+    until the first event and ``alone`` that time with an empty queue, in seconds.
+    ``source`` is the instance to transfer cached parts from, or None.
     """
 
     instance: object
@@ -44,82 +46,103 @@
     source: object = None
 
 
-@functools.lru_cache(_SEEDS)
-def _get_seed(name):
+@functools.lru_cache(_MAX_CACHED_HASHES)
+def _hash_name(name):
     return xxhash.xxh64_intdigest(name.encode())
 
 
 def rank_instances(key, instances):
     """Return the instances in rendezvous order for ``key``, best first."""
-    seed = _get_seed(key)
+    key_hash = _hash_name(key)
     return sorted(
         instances,
-        key=lambda row: (seed ^ _get_seed(row.id)) * _MIXER & _MASK,
+        key=lambda instance: (
+            (key_hash ^ _hash_name(instance.id)) * _HASH_MULTIPLIER & _HASH_MASK
+        ),
         reverse=True,
     )
 
 
 def choose_engine(
-    prompt, instances, loads, now, engine=None, patience=0.0, target=None
+    prompt, instances, loads, now, engine=None, max_queue_wait=0.0, latency_target=None
 ):
-    """Return the `Choice` with the least wait and price, or None.
-
-    A shared part is taken as read where the instance, this gateway or a peer
-    has said so, and where nothing is known yet at the instance that rendezvous
-    hashing names, since all gateways prefer that one. Reading it anew costs
-    capacity that others wait for, so it weighs more than the time it takes;
-    taking it from an instance that holds it costs less.
-
-    What is known of the instances' work is some tens of milliseconds old, and
-    the same at every gateway. If each took the best of all, they would all send
-    to the same one until the next reports. So only a few are weighed, which
-    differ from prompt to prompt: the first in rendezvous order and those that
-    hold most of it. More are weighed only while the wait for others is longer
-    than ``patience``, in seconds.
-
-    ``target`` is the route's latency target in seconds, from which and the engines'
-    backlog follows how far prompts are spread; see `cold_caches`.
+    """Return the `Choice` with the lowest sum of wait and cost, or None.
+
+    A shared part is assumed to be cached if the instance, this gateway or a peer has
+    reported it. It is also assumed to be cached at the home instance, the first in
+    rendezvous order, while that instance's cache has not been listed, since all
+    gateways prefer the home instance. Reading a part again uses capacity that other
+    requests wait for, so it is weighted higher than its duration. Transferring the
+    part from an instance that holds it costs less.
+
+    The reported load of the instances is some tens of milliseconds old and the same at
+    every gateway. If each gateway chose the best of all instances, all would send to
+    the same one until the next reports. Therefore only a few instances are evaluated,
+    which differ between prompts: the first in rendezvous order and those that hold the
+    most tokens of the prompt. Further instances are evaluated only while the shortest
+    queue wait is longer than ``max_queue_wait`` seconds.
+
+    ``latency_target`` is the latency target of the route in seconds. Together with the
+    backlog of the engines it determines how far prompts are spread; see `cold_caches`.
     """
     ranked = rank_instances(prompt.home or prompt.own_id, instances)
     held = loads.count_held(prompt.shared, now)
     holders = find_holders(held, ranked, engine)
     spread = Spread()
-    if target is not None:
-        spread = choose_spread(loads.estimate_backlog(instances, now), target)
-    missing = prompt.tokens - prompt.own - max(held.values(), default=0)
-    weigh = functools.partial(
-        _weigh,
+    if latency_target is not None:
+        spread = choose_spread(loads.estimate_backlog(instances, now), latency_target)
+    uncached = prompt.tokens - prompt.own - max(held.values(), default=0)
+    evaluate = functools.partial(
+        _evaluate,
         prompt,
         held=held,
         holders=holders,
         loads=loads,
         now=now,
         engine=engine,
-        home_discount=spread.home_discount * missing,
+        home_discount=spread.home_discount * uncached,
     )
-    options = [weigh(rank, row) for rank, row in enumerate(ranked[:_WIDTH])]
-    options += [weigh(_WIDTH, row) for row, _ in holders if row not in ranked[:_WIDTH]]
-    weighed = _WIDTH
-    while weighed < len(ranked) and _get_least_queue(options) > patience:
-        more = ranked[weighed : weighed + _WIDTH]
-        options += [weigh(weighed + place, row) for place, row in enumerate(more)]
-        weighed += _WIDTH
-    if not options:
+    candidates = [
+        evaluate(rank, instance)
+        for rank, instance in enumerate(ranked[:_BATCH_INSTANCE_COUNT])
+    ]
+    candidates += [
+        evaluate(_BATCH_INSTANCE_COUNT, instance)
+        for instance, _ in holders
+        if instance not in ranked[:_BATCH_INSTANCE_COUNT]
+    ]
+    evaluated_count = _BATCH_INSTANCE_COUNT
+    while (
+        evaluated_count < len(ranked)
+        and _get_min_queue_wait(candidates) > max_queue_wait
+    ):
+        more = ranked[evaluated_count : evaluated_count + _BATCH_INSTANCE_COUNT]
+        candidates += [
+            evaluate(evaluated_count + offset, instance)
+            for offset, instance in enumerate(more)
+        ]
+        evaluated_count += _BATCH_INSTANCE_COUNT
+    if not candidates:
         return None
-    in_time = [option for option in options if option.wait <= spread.max_wait]
-    best = min(in_time or options, key=lambda option: option.score)
+    in_time = [
+        candidate for candidate in candidates if candidate.wait <= spread.max_wait
+    ]
+    best = min(in_time or candidates, key=lambda candidate: candidate.score)
     return Choice(
         best.instance, best.unread, best.wait, best.alone, best.reason, best.source
     )
 
 
-def _get_least_queue(options):
-    """Return the least time that a request waits for others, in seconds."""
-    return min(option.wait - option.alone for option in options)
+def _get_min_queue_wait(candidates):
+    """Return the shortest time in seconds that the request waits in a queue."""
+    return min(candidate.wait - candidate.alone for candidate in candidates)
 
 
-class _Option(NamedTuple):
-    """An instance weighed; times in seconds, ``source`` to take parts from."""
+class _Candidate(NamedTuple):
+    """An evaluated instance; times are in seconds.
+
+    ``source`` is the instance to transfer cached parts from, or None.
+    """
 
     instance: object
     unread: int
@@ -130,75 +153,86 @@
     source: object
 
 
-def _weigh(prompt, rank, instance, held, holders, loads, now, engine, home_discount):
+def _evaluate(prompt, rank, instance, held, holders, loads, now, engine, home_discount):
     cached = held.get(instance.id, 0)
     if rank == 0 and not loads.is_listed(instance.id):
         cached = prompt.tokens - prompt.own
     source = pick_source(instance, cached, holders) if holders else None
     reason = "home" if rank == 0 else "spill"
-    move = 0.0
+    transfer = 0.0
     if source is not None:
         reason = "fetch"
         remote = source[0].zone != instance.zone
-        move = estimate_move(source[1] - cached, remote, engine)
+        transfer = estimate_transfer(source[1] - cached, remote, engine)
         cached = source[1]
     unread = max(1, prompt.tokens - cached)
     load = loads.get(instance.id, now)
-    wait = loads.estimate_wait(load, unread) + move
-    alone = loads.estimate_alone(load, unread) + move
+    wait = loads.estimate_wait(load, unread) + transfer
+    alone = loads.estimate_alone(load, unread) + transfer
     reread = max(0, unread - prompt.own)
     if rank == 0:
-        # What no engine holds has to be read once, and all gateways look for it here.
+        # Parts that no engine holds have to be read once, and all gateways expect them
+        # at this engine.
         reread = max(0, reread - home_discount)
-    price = _REREAD_WEIGHT * reread / loads.rate + _MOVE_WEIGHT * move
-    score = wait + price + _RANK_WAIT * rank
-    found = source[0] if source else None
-    return _Option(instance, unread, wait, alone, score, reason, found)
+    cost = _REREAD_WEIGHT * reread / loads.rate + _TRANSFER_WEIGHT * transfer
+    score = wait + cost + _RANK_WAIT_S * rank
+    source_instance = source[0] if source else None
+    return _Candidate(instance, unread, wait, alone, score, reason, source_instance)
 
 
 def find_holders(held, instances, engine):
-    """Return (instance, tokens held), the most first, where parts can be moved.
+    """Return pairs (instance, tokens held), the most tokens first.
 
-    Nothing is assumed here: what is taken from an instance must be known.
+    The list is empty if engines cannot transfer parts. Only reported parts count, no
+    assumed ones, since a transfer source has to hold the parts.
     """
     if not held or engine is None or engine.link_rate <= 0.0:
         return []
-    rows = [(row, held[row.id]) for row in instances if row.id in held]
-    return sorted(rows, key=lambda row: row[1], reverse=True)[:_MAX_HOLDERS]
+    holders = [
+        (instance, held[instance.id]) for instance in instances if instance.id in held
+    ]
+    return sorted(holders, key=lambda holder: holder[1], reverse=True)[:_MAX_HOLDERS]
 
 
 def pick_source(instance, cached, holders):
-    """Return the (instance, tokens) to take parts from, or None to read them.
+    """Return the (instance, tokens) to transfer parts from, or None to read them.
 
-    Of those that hold most, one in the same failure domain goes first.
+    Of the holders of the most tokens, one in the same failure domain is preferred.
     """
-    better = [row for row in holders if row[1] > cached + _MIN_MOVE]
+    better = [holder for holder in holders if holder[1] > cached + _MIN_TRANSFER_TOKENS]
     if not better:
         return None
-    most = better[0][1]
-    return max(better, key=lambda row: (row[1] == most, row[0].zone == instance.zone))
+    max_tokens = better[0][1]
+    return max(
+        better,
+        key=lambda holder: (holder[1] == max_tokens, holder[0].zone == instance.zone),
+    )
 
 
-def estimate_move(tokens, remote, engine):
-    """Return seconds to take cached tokens over, twice as long between domains."""
+def estimate_transfer(tokens, remote, engine):
+    """Return the seconds that a transfer of cached tokens takes.
+
+    The bytes take twice as long between domains.
+    """
     seconds = tokens * engine.token_bytes / engine.link_rate
-    return _MOVE_BASE + seconds * (2.0 if remote else 1.0)
+    return _TRANSFER_BASE_S + seconds * (2.0 if remote else 1.0)
 
 
 def choose_instance(instances, loads, zone, now, rng):
     """Return the `Choice` among instances of a plain service, or None.
 
-    The one expected to answer first goes first, among those with free places the
-    least loaded; equal ones by chance, so that gateways do not all pick the same.
+    It is the instance that is expected to respond first, and among instances with free
+    slots the least loaded one. Ties are broken at random, so that gateways do not all
+    choose the same instance.
     """
     best = None
     for instance in instances:
         load = loads.get(instance.id, now)
-        busy = (load.active + load.remote_active) / max(1, instance.slots)
-        remote = _REMOTE_ZONE_WAIT if instance.zone != zone else 0.0
+        utilisation = (load.active + load.remote_active) / max(1, instance.slots)
+        remote = _REMOTE_ZONE_WAIT_S if instance.zone != zone else 0.0
         wait = loads.estimate_call(load, instance.slots) + remote
-        # Some become slower when nearly full.
-        score = (wait + busy * loads.call_time, rng.random())
+        # Some instances become slower when nearly all their slots are in use.
+        score = (wait + utilisation * loads.call_time, rng.random())
         if best is None or score < best[0]:
             best = (score, instance, wait)
     if best is None:
--- /dev/null
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/instance_loads.py
@@ -0,0 +1,73 @@
+"""Load of one instance, and the records of single requests at it."""
+
+# Time of the first ejection; each following one is twice as long.
+INITIAL_EJECTION_S = 0.7
+
+
+class InstanceLoad:
+    """Load and health of one instance.
+
+    ``unread`` and ``remote_unread`` count the prompt tokens that the instance has not
+    read yet, ``active`` and ``remote_active`` the requests in flight there, from this
+    gateway and from its peers. ``slowness`` is the factor by which the instance reads
+    more slowly than the mean.
+    """
+
+    __slots__ = (
+        "active",
+        "answered",
+        "call_time",
+        "ejected_until",
+        "errors",
+        "last_activity",
+        "next_ejection",
+        "probing",
+        "remote_active",
+        "remote_unread",
+        "slowness",
+        "unread",
+    )
+
+    def __init__(self, now):
+        self.unread = 0
+        self.remote_unread = 0
+        self.active = 0
+        self.remote_active = 0
+        self.last_activity = now
+        # Time of the last response head, None if there was none.
+        self.answered = None
+        self.errors = 0
+        self.next_ejection = INITIAL_EJECTION_S
+        self.ejected_until = 0.0
+        self.probing = False
+        self.slowness = 1.0
+        # Mean service time of plain calls in seconds, None before the first.
+        self.call_time = None
+
+
+class Work:
+    """One request at an instance, from sending it to its end.
+
+    ``ahead`` is the number of unread tokens and ``running`` the number of requests that
+    were at the instance before it; ``sent`` is the time of sending and ``first`` the
+    seconds until the first data of the response.
+    """
+
+    __slots__ = (
+        "ahead",
+        "first",
+        "instance_id",
+        "is_prompt_read",
+        "running",
+        "sent",
+        "tokens",
+    )
+
+    def __init__(self, instance_id, tokens, ahead, running, sent):
+        self.instance_id = instance_id
+        self.tokens = tokens
+        self.ahead = ahead
+        self.running = running
+        self.sent = sent
+        self.first = None
+        self.is_prompt_read = False
