--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
@@ -162,7 +162,7 @@
         for instance, part in report.reads:
             instance_id = state.directory.get_id(instance)
             if instance_id is not None:
-                state.loads.note_digest(part, instance_id, now)
+                state.loads.record_part_digest(part, instance_id, now)
         self._links.forward_reads(report)
 
     def _take_leaving(self, report):
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -115,7 +115,7 @@
         instance_id,
         [part for part in shared if not is_cached(part.id, instance_id, now)],
     )
-    state.loads.note_parts(shared, instance_id, now)
+    state.loads.record_parts(shared, instance_id, now)
 
 
 async def _get_socket(state, ctx, instance):
@@ -165,7 +165,7 @@
     now = state.clock()
     state.loads.note_progress(work, now)
     if work.tokens == 0:
-        state.loads.note_call(work, choice.instance.slots, now - work.sent)
+        state.loads.record_call_time(work, choice.instance.slots, now - work.sent)
 
 
 async def _read_rejection(exchange, head):
@@ -182,7 +182,7 @@
         return False
     if ctx.deadline - state.clock() < ctx.route.latency_target / 4:
         return False
-    return has_alternative(state, ctx, state.clock(), besides=instance)
+    return has_alternative(state, ctx, state.clock(), other_than=instance)
 
 
 def _get_attempt_deadline(state, ctx):
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
@@ -5,7 +5,7 @@
 from ..admission import policy as admission
 from ..placement.candidates import (
     find_candidates,
-    find_return,
+    find_retry_after,
     has_alternative,
     take_permit,
 )
@@ -161,7 +161,7 @@
     refusal = make_failure_refusal(state, ctx, failure)
     if refusal.retry_after is None:
         return refusal
-    retry_after = find_return(state, ctx, state.clock())
+    retry_after = find_retry_after(state, ctx, state.clock())
     return refusal if retry_after is None else refusal._replace(retry_after=retry_after)
 
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
@@ -62,7 +62,7 @@
         # Random number for admission. The lowest value admits a request for which none
         # was drawn.
         self.draw = 0.0
-        # Id of the warming instance that the request may be sent to, see `slowstart`.
+        # Id of the warming instance that the request may be sent to, see `slow_start`.
         self.permit = None
         # Whether this is a trial of a quarantined request.
         self.is_trial = False
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
@@ -96,7 +96,7 @@
     ejection_s = None
     state.metrics.send_failures.labels(failure.fault.value).inc()
     if failure.status == MISDIRECTED:
-        state.loads.note_replaced(instance_id, now)
+        state.loads.mark_replaced(instance_id, now)
         state.connections.drop(instance_id)
     elif _is_unrelated_to_health(state, instance_id, failure, now):
         state.loads.note_released(instance_id, now)
--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -15,9 +15,9 @@
 from .operations.operating import QUARANTINE_PATH, create_quarantine_handler
 from .placement.caches import (
     CACHES_PATH,
-    CacheScout,
+    CacheDiscovery,
+    create_cache_fetcher,
     create_caches_handler,
-    create_fetch,
 )
 from .placement.domains import PROBE_CHECK_S, DomainProber
 from .quarantine import crash_attribution
@@ -80,7 +80,9 @@
             read_policy,
             Refresher(state, self._followers, read_policy),
         )
-        self._scout = CacheScout(state, adapter.list_parts, create_fetch(listen.fleet))
+        self._scout = CacheDiscovery(
+            state, adapter.list_parts, create_cache_fetcher(listen.fleet)
+        )
         self._metrics = _create_metrics_server(state, self._update_gauges)
         self._prober = DomainProber(state)
         self._publisher = Publisher(state, adapter, listen.reports)
@@ -106,7 +108,7 @@
         self.timers.subscribe(
             "backoffs", _BACKOFF_CHECK, lambda: upstream_signals.end_backoffs(state)
         )
-        self.timers.subscribe("caches", _CACHE_CHECK, self._scout.find_new)
+        self.timers.subscribe("caches", _CACHE_CHECK, self._scout.queue_new_engines)
         self.timers.subscribe("domains", PROBE_CHECK_S, self._prober.probe)
         self.timers.subscribe("limits", _STALE_CHECK, self._apply_limits)
         self.timers.start()
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
@@ -46,7 +46,7 @@
     return handle
 
 
-class CacheScout:
+class CacheDiscovery:
     """Discovers which prompt parts each new engine has cached.
 
     Parameters
@@ -72,7 +72,7 @@
             target=self._run, args=(stopped,), name="caches", daemon=True
         ).start()
 
-    def find_new(self):
+    def queue_new_engines(self):
         """Queue ready engines that were not queued before."""
         catalog = self._state.catalog
         if catalog is None:
@@ -194,7 +194,7 @@
         return instances
 
 
-def create_fetch(address):
+def create_cache_fetcher(address):
     """Return a function that fetches cache lists from a host.
 
     It uses the port of ``address``.
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/candidates.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/candidates.py
@@ -56,7 +56,7 @@
     return "warming"
 
 
-def find_return(state, ctx, now):
+def find_retry_after(state, ctx, now):
     """Return the seconds until a client may retry, if all instances are backing off.
 
     Return None if an instance accepts requests now or if there is no instance.
@@ -69,16 +69,16 @@
     )
 
 
-def has_alternative(state, ctx, now, besides=None):
+def has_alternative(state, ctx, now, other_than=None):
     """Return whether another instance accepts requests now.
 
-    The instance ``besides`` and those that were already tried do not count.
+    The instance ``other_than`` and those that were already tried do not count.
     """
     instances = _find_allowed(state, ctx)
     untried = [
         instance
         for instance in instances
-        if instance.id not in ctx.excluded and instance != besides
+        if instance.id not in ctx.excluded and instance != other_than
     ]
     return bool(_drop_backing_off(state, untried, now))
 
@@ -136,7 +136,9 @@
 
 def _keep_usable(state, ready, now):
     usable = state.loads.pick_usable(ready, now)
-    unreachable = state.domains.get_cut(state.members.get_silent_domains(now), now)
+    unreachable = state.domains.get_unreachable(
+        state.members.get_silent_domains(now), now
+    )
     if unreachable:
         usable = [
             instance for instance in usable if instance.zone not in unreachable
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
@@ -17,7 +17,7 @@
 _FAILURE_LIFETIME_S = 3.0
 
 
-class Domains:
+class DomainFailures:
     """Time of the last failed connection to each failure domain."""
 
     def __init__(self, own):
@@ -37,7 +37,7 @@
             with self._lock:
                 self._failed_at.pop(domain, None)
 
-    def get_cut(self, silent, now):
+    def get_unreachable(self, silent, now):
         """Return those of the ``silent`` domains that are probably unreachable."""
         if not self._failed_at or not silent:
             return frozenset()
@@ -89,7 +89,9 @@
 
     def _record_result(self, domain, reachable):
         state = self._state
-        was_unreachable = domain in state.domains.get_cut({domain}, state.clock())
+        was_unreachable = domain in state.domains.get_unreachable(
+            {domain}, state.clock()
+        )
         if reachable:
             state.domains.note_success(domain)
         else:
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
@@ -103,7 +103,7 @@
     def record_listed(self, instance_id, digests, now):
         """Record the parts in a list of the instance's cache."""
         for digest in digests:
-            self.note_digest(digest, instance_id, now)
+            self.record_part_digest(digest, instance_id, now)
         self._listed_ids.add(instance_id)
 
     def get_listed(self, now):
@@ -117,12 +117,12 @@
                         listed[instance_id].append(digest)
         return {get_digest(instance_id): parts for instance_id, parts in listed.items()}
 
-    def note_parts(self, parts, instance_id, now):
+    def record_parts(self, parts, instance_id, now):
         """Record that the instance reads these parts."""
         for part in parts:
-            self.note_digest(get_digest(part.id), instance_id, now)
+            self.record_part_digest(get_digest(part.id), instance_id, now)
 
-    def note_digest(self, digest, instance_id, now):
+    def record_part_digest(self, digest, instance_id, now):
         """Record that the instance reads the part with this digest."""
         with self._lock:
             self._holders_by_digest.setdefault(digest, {})[instance_id] = now
@@ -158,7 +158,7 @@
             load.active + load.remote_active, slots
         )
 
-    def note_call(self, work, slots, elapsed):
+    def record_call_time(self, work, slots, elapsed):
         """Update the mean service times with the duration of a plain call."""
         service_time = elapsed / _compute_queue_factor(work.running, slots)
         with self._lock:
@@ -184,7 +184,7 @@
                 load.probing = True
             return Work(instance_id, tokens, ahead, running, now)
 
-    def note_head(self, instance_id, now):
+    def record_response_head(self, instance_id, now):
         """Record that the head of a response has arrived."""
         load = self._by_id.get(instance_id)
         if load is not None:
@@ -243,7 +243,7 @@
         load.probing = False
         return ejection
 
-    def note_replaced(self, instance_id, now):
+    def mark_replaced(self, instance_id, now):
         """Eject an instance whose address now belongs to another instance."""
         load = self.get(instance_id, now)
         load.ejected_until = now + _MAX_EJECTION_S
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/slowstart.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/slow_start.py
@@ -138,7 +138,7 @@
     return low
 
 
-def create_gateway_count(state):
+def create_gateway_counter(state):
     """Return the function that counts the gateways of the fleet, for `SlowStart`.
 
     A gateway that has just started may have no other members in its list, and would use
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -23,9 +23,9 @@
 from .forwarding.retries import RetryBudget
 from .operations.metrics import GatewayMetrics
 from .placement.backoffs import Backoffs
-from .placement.domains import Domains
+from .placement.domains import DomainFailures
 from .placement.loads import Loads, Reads
-from .placement.slowstart import SlowStart, create_gateway_count
+from .placement.slow_start import SlowStart, create_gateway_counter
 from .process_pauses import Stalls
 from .quarantine.crashes import Suspects
 from .quarantine.records import Quarantine
@@ -82,7 +82,7 @@
         self.pressure = Pressure(log)
         self.overload = Overload(log)
         self.stalls = Stalls(clock, log.note)
-        self.domains = Domains(cfg.domain)
+        self.domains = DomainFailures(cfg.domain)
         self.members = Members(
             Member(cfg.host, cfg.domain, cfg.listen.reports, cfg.processor.capacity),
             cfg.reporting.mesh_limit,
@@ -113,7 +113,7 @@
         retries = cfg.retries
         self.retries = RetryBudget(retries.ratio, retries.slack, retries.window)
         self.slow_start = SlowStart(
-            self.rng, create_gateway_count(self), cfg.slow_start
+            self.rng, create_gateway_counter(self), cfg.slow_start
         )
         self.stopping = False
         self.refusing = False
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
@@ -57,7 +57,7 @@
 
 def observe_head(state, ctx, instance, head):
     """Take in what the head of an answer says of its upstream."""
-    state.loads.note_head(instance.id, state.clock())
+    state.loads.record_response_head(instance.id, state.clock())
     signals = read_signals(state.names, head)
     if signals.is_leaving:
         note_leaving(state, instance.id, "answer", id=ctx.id, status=head.status)
--- a/packages/valeweir_gateway/tests/test_slowstart.py
+++ b/packages/valeweir_gateway/tests/test_slowstart.py
@@ -1,7 +1,7 @@
 import random
 import unittest
 
-from valeweir_gateway.placement.slowstart import SlowStart, compute_poisson_mean
+from valeweir_gateway.placement.slow_start import SlowStart, compute_poisson_mean
 from valeweir_gateway.settings import SlowStart as Bound
 
 RATE = 6.1
