--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
@@ -61,8 +61,8 @@
     if work.first is not None and ctx.prompt is not None:
         state.metrics.first_seconds.observe(work.first)
         state.metrics.expected_seconds.observe(choice.wait)
-    state.domains.note_success(choice.instance.zone)
-    if state.loads.note_success(choice.instance.id, now):
+    state.domains.record_success(choice.instance.zone)
+    if state.loads.record_success(choice.instance.id, now):
         state.log.note("upstream back", upstream=choice.instance.id)
     state.log.note(
         "request served",
@@ -99,10 +99,10 @@
         state.loads.mark_replaced(instance_id, now)
         state.connections.drop(instance_id)
     elif _is_unrelated_to_health(state, instance_id, failure, now):
-        state.loads.note_released(instance_id, now)
+        state.loads.end_probe(instance_id, now)
     else:
         severe = failure.fault is Fault.NOT_SENT
-        ejection_s = state.loads.note_error(instance_id, now, severe)
+        ejection_s = state.loads.record_error(instance_id, now, severe)
         if failure.status == 0:
             state.domains.note_failure(choice.instance.zone, now)
     state.log.note(
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
@@ -31,7 +31,7 @@
             with self._lock:
                 self._failed_at[domain] = now
 
-    def note_success(self, domain):
+    def record_success(self, domain):
         """Record a response from an instance of the domain."""
         if domain in self._failed_at:
             with self._lock:
@@ -93,7 +93,7 @@
             {domain}, state.clock()
         )
         if reachable:
-            state.domains.note_success(domain)
+            state.domains.record_success(domain)
         else:
             state.domains.note_failure(domain, state.clock())
         if was_unreachable == reachable:
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
@@ -213,7 +213,7 @@
             if not work.is_prompt_read:
                 self._mark_prompt_read(work, load)
 
-    def note_success(self, instance_id, now):
+    def record_success(self, instance_id, now):
         """Record a complete response; return whether it ended an ejection."""
         load = self.get(instance_id, now)
         ended = load.ejected_until > 0.0
@@ -224,7 +224,7 @@
             load.next_ejection = INITIAL_EJECTION_S
         return ended
 
-    def note_error(self, instance_id, now, severe=False):
+    def record_error(self, instance_id, now, severe=False):
         """Record a failure; return the ejection time in seconds, or None.
 
         Consecutive failures, a ``severe`` one or one of a probe eject the instance.
@@ -249,7 +249,7 @@
         load.ejected_until = now + _MAX_EJECTION_S
         load.probing = False
 
-    def note_released(self, instance_id, now):
+    def end_probe(self, instance_id, now):
         """Record that a request ended without evidence on the instance's health."""
         self.get(instance_id, now).probing = False
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crash_attribution.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crash_attribution.py
@@ -179,7 +179,7 @@
     if instance_id is None or now - crash.ended > _MAX_NOTICE_AGE_S:
         return
     if state.loads.is_usable(instance_id, now):
-        state.loads.note_error(instance_id, now, severe=True)
+        state.loads.record_error(instance_id, now, severe=True)
 
 
 def _quarantine_request(state, fingerprint, count, now, ctx=None):
--- a/packages/valeweir_router/src/valeweir_router/exchanging.py
+++ b/packages/valeweir_router/src/valeweir_router/exchanging.py
@@ -154,16 +154,16 @@
 def note_health(state, upstream, failure, served):
     """Take in what an exchange tells about its upstream."""
     if failure is None:
-        if state.health.note_success(upstream):
+        if state.health.record_success(upstream):
             metrics.ejected.labels(upstream).set(0)
             logger.bind(upstream=upstream).info("upstream back")
         if served.ticket.prefix:
             state.hints.note(served.ticket.prefix, upstream, state.clock())
         return
     if failure.fault in _BLAMELESS:
-        state.health.note_released(upstream)
+        state.health.end_probe(upstream)
         return
-    pause = state.health.note_error(upstream, state.clock())
+    pause = state.health.record_error(upstream, state.clock())
     if pause is not None:
         metrics.ejected.labels(upstream).set(1)
         logger.bind(upstream=upstream, pause=round(pause, 2), why=failure.text).warning(
--- a/packages/valeweir_sharing/src/valeweir_sharing/health.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/health.py
@@ -30,7 +30,7 @@
         self._rng = rng
         self._states = {}
 
-    def note_success(self, upstream):
+    def record_success(self, upstream):
         """Record a complete response; return whether it ended an ejection."""
         state = self._states.get(upstream)
         if state is None:
@@ -39,7 +39,7 @@
         del self._states[upstream]
         return ended
 
-    def note_error(self, upstream, now):
+    def record_error(self, upstream, now):
         """Record a failure; return the pause in seconds if it ejects, or None."""
         state = self._states.setdefault(upstream, EjectionState())
         state.error_count += 1
@@ -71,7 +71,7 @@
         if state is not None and state.ejected_until > 0:
             state.probing = True
 
-    def note_released(self, upstream):
+    def end_probe(self, upstream):
         """Record that a probe ended with neither success nor failure."""
         state = self._states.get(upstream)
         if state is not None:
