--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/client_deadlines.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/client_deadlines.py
@@ -7,22 +7,22 @@
 """
 
 # Seconds for which what clients said counts, at least; twice that at most.
-_WINDOW = 5.0
+_WINDOW_S = 5.0
 
 
 class Patience:
     """The longest waits that clients of each route named lately, in seconds."""
 
     def __init__(self):
-        self._began = 0.0
-        self._now = {}
-        self._before = {}
+        self._window_start = 0.0
+        self._current_max = {}
+        self._previous_max = {}
 
-    def note(self, route, wait, now):
+    def note(self, route, remaining, now):
         """Note a try; return the seconds spent on tries before it."""
-        if now - self._began > _WINDOW:
-            self._began = now
-            self._before, self._now = self._now, {}
-        most = max(wait, self._now.get(route, 0.0))
-        self._now[route] = most
-        return max(most, self._before.get(route, 0.0)) - wait
+        if now - self._window_start > _WINDOW_S:
+            self._window_start = now
+            self._previous_max, self._current_max = self._current_max, {}
+        max_remaining = max(remaining, self._current_max.get(route, 0.0))
+        self._current_max[route] = max_remaining
+        return max(max_remaining, self._previous_max.get(route, 0.0)) - remaining
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/intake.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/intake.py
@@ -12,11 +12,11 @@
 
 # About 4 ms on half a core, a fifth of the interval between reports: 0.25 ms for a
 # stream (valeweir_standin.path) and 0.1 ms for a placement among 30 engines.
-_REQUESTS_A_TURN = 6
+_MAX_REQUESTS_PER_ITERATION = 6
 # Part of the mean time a request that a new figure makes up.
-_MEMORY = 0.1
+_EWMA_ALPHA = 0.1
 # Seconds a request to begin with; the turns of the first crowded moment teach more.
-_FIRST_TIME = 0.001
+_INITIAL_REQUEST_TIME_S = 0.001
 
 
 class Intake:
@@ -25,53 +25,53 @@
     def __init__(self, clock=get_lease_time):
         self._clock = clock
         self._waiting = collections.deque()
-        self._time = _FIRST_TIME
-        self._turned = None
-        self._passed = 0
-        self._is_turning = False
+        self._request_time = _INITIAL_REQUEST_TIME_S
+        self._released_at = None
+        self._admitted_count = 0
+        self._is_scheduled = False
 
     def __len__(self):
         return len(self._waiting)
 
     def estimate_wait(self):
         """Return seconds until a request that comes now has its turn."""
-        return len(self._waiting) * self._time
+        return len(self._waiting) * self._request_time
 
     async def enter(self):
         """Wait for this request's turn."""
-        if self._passed < _REQUESTS_A_TURN and not self._waiting:
-            self._count()
+        if self._admitted_count < _MAX_REQUESTS_PER_ITERATION and not self._waiting:
+            self._count_admission()
             return
         fut = asyncio.get_running_loop().create_future()
         self._waiting.append(fut)
-        self._ask_for_turn()
+        self._schedule_release()
         await fut
 
-    def _count(self):
-        self._passed += 1
-        self._ask_for_turn()
+    def _count_admission(self):
+        self._admitted_count += 1
+        self._schedule_release()
 
-    def _ask_for_turn(self):
-        if not self._is_turning:
-            self._is_turning = True
-            asyncio.get_running_loop().call_soon(self._turn)
+    def _schedule_release(self):
+        if not self._is_scheduled:
+            self._is_scheduled = True
+            asyncio.get_running_loop().call_soon(self._release)
 
-    def _learn(self):
+    def _update_request_time(self):
         """Learn the time a request from that between turns with some waiting."""
         now = self._clock()
-        if self._turned is not None and self._waiting and self._passed:
-            spent = (now - self._turned) / self._passed
-            self._time += _MEMORY * (spent - self._time)
-        self._turned = now
+        if self._released_at is not None and self._waiting and self._admitted_count:
+            spent = (now - self._released_at) / self._admitted_count
+            self._request_time += _EWMA_ALPHA * (spent - self._request_time)
+        self._released_at = now
 
-    def _turn(self):
-        self._is_turning = False
-        self._learn()
-        self._passed = 0
-        while self._waiting and self._passed < _REQUESTS_A_TURN:
+    def _release(self):
+        self._is_scheduled = False
+        self._update_request_time()
+        self._admitted_count = 0
+        while self._waiting and self._admitted_count < _MAX_REQUESTS_PER_ITERATION:
             fut = self._waiting.popleft()
             if not fut.done():
-                self._passed += 1
+                self._admitted_count += 1
                 fut.set_result(None)
-        if self._passed:
-            self._ask_for_turn()
+        if self._admitted_count:
+            self._schedule_release()
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/latency_targets.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/latency_targets.py
@@ -7,7 +7,7 @@
 import math
 import threading
 
-_IN_USE = 5.0
+_RETENTION_S = 5.0
 
 
 class RecentTargets:
@@ -15,19 +15,25 @@
 
     def __init__(self):
         self._lock = threading.Lock()
-        self._seen = {}
+        self._used_at = {}
 
     def note(self, service, target, now):
         """Note a request with this latency target; return the least one in use."""
         with self._lock:
-            seen = self._seen.setdefault(service, {})
-            seen[target] = now
-            for old in [g for g, at in seen.items() if now - at > _IN_USE]:
-                del seen[old]
-            return min(seen)
+            used_at = self._used_at.setdefault(service, {})
+            used_at[target] = now
+            for expired in [
+                value for value, at in used_at.items() if now - at > _RETENTION_S
+            ]:
+                del used_at[expired]
+            return min(used_at)
 
     def get_least(self, now):
         """Return the least latency target in use at any service, infinity for none."""
         with self._lock:
-            rows = [row for seen in self._seen.values() for row in seen.items()]
-        return min((g for g, at in rows if now - at <= _IN_USE), default=math.inf)
+            rows = [
+                row for used_at in self._used_at.values() for row in used_at.items()
+            ]
+        return min(
+            (value for value, at in rows if now - at <= _RETENTION_S), default=math.inf
+        )
