--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
@@ -7,24 +7,24 @@
 from enum import IntEnum
 
 # Part of the mean that a new figure makes up.
-_MEMORY = 0.2
+_EWMA_ALPHA = 0.2
 # Lags in seconds. One long stop, of the host or of a collection, is no queue. A request
 # takes some five turns of the loop to its upstream: at the second limit half a second
 # and most of its latency target.
-_MAX_COUNTED = 0.24
-_HIGH = 0.05
-_SEVERE = 0.1
+_MAX_SAMPLE_S = 0.24
+_HIGH_LAG_S = 0.05
+_SEVERE_LAG_S = 0.1
 # A level ends below this part of the lag that began it.
-_RELIEVED_RATIO = 0.6
+_HYSTERESIS_RATIO = 0.6
 # Parts of the requests that may be under way.
-_HIGH_RATIO = 0.7
-_SEVERE_RATIO = 0.85
+_HIGH_INFLIGHT_RATIO = 0.7
+_SEVERE_INFLIGHT_RATIO = 0.85
 # Parts of a request's latency target that it may wait to be looked at.
-_HIGH_WAIT_RATIO = 0.1
-_SEVERE_WAIT_RATIO = 0.2
+_HIGH_INTAKE_WAIT_RATIO = 0.1
+_SEVERE_INTAKE_WAIT_RATIO = 0.2
 # Clients that leave before they are read, within a window in seconds.
-_LEFT_MANY = 8
-_LEFT_WINDOW = 1.0
+_OVERLOAD_DISCONNECT_COUNT = 8
+_DISCONNECT_WINDOW_S = 1.0
 
 
 class Level(IntEnum):
@@ -35,14 +35,14 @@
     SEVERE = 2
 
 
-def get_occupancy_level(inflight, most):
-    """Return the level of a gateway that has ``inflight`` of ``most`` requests.
+def get_occupancy_level(inflight, max_inflight):
+    """Return the level of a gateway that has ``inflight`` of ``max_inflight`` requests.
 
     Some room is left for telling clients to go elsewhere at once.
     """
-    if inflight > _SEVERE_RATIO * most:
+    if inflight > _SEVERE_INFLIGHT_RATIO * max_inflight:
         return Level.SEVERE
-    if inflight > _HIGH_RATIO * most:
+    if inflight > _HIGH_INFLIGHT_RATIO * max_inflight:
         return Level.HIGH
     return Level.NONE
 
@@ -52,9 +52,9 @@
 
     A client that is sent elsewhere at once has most of its latency target left there.
     """
-    if wait > _SEVERE_WAIT_RATIO * latency_target:
+    if wait > _SEVERE_INTAKE_WAIT_RATIO * latency_target:
         return Level.SEVERE
-    if wait > _HIGH_WAIT_RATIO * latency_target:
+    if wait > _HIGH_INTAKE_WAIT_RATIO * latency_target:
         return Level.HIGH
     return Level.NONE
 
@@ -68,33 +68,39 @@
 
     def __init__(self, log):
         self._log = log
-        self._left = collections.deque()
-        self._last = None
+        self._disconnects = collections.deque()
+        self._last_overload_at = None
         self.is_out = False
 
     def note_left(self, now):
         """Note a client that left before its request was read."""
-        self._left.append(now)
-        self._last = now
+        self._disconnects.append(now)
+        self._last_overload_at = now
 
     def check(self, level, now):
         """Take in the `Level`; return whether to get no more clients."""
-        while self._left and now - self._left[0] > _LEFT_WINDOW:
-            self._left.popleft()
+        while self._disconnects and now - self._disconnects[0] > _DISCONNECT_WINDOW_S:
+            self._disconnects.popleft()
         if level is Level.SEVERE:
-            self._last = now
-        crowded = len(self._left) >= _LEFT_MANY or level is Level.SEVERE
-        quiet = self._last is None or now - self._last > _LEFT_WINDOW
-        out = crowded or self.is_out and not quiet
-        if out != self.is_out:
-            self.is_out = out
+            self._last_overload_at = now
+        crowded = (
+            len(self._disconnects) >= _OVERLOAD_DISCONNECT_COUNT
+            or level is Level.SEVERE
+        )
+        quiet = (
+            self._last_overload_at is None
+            or now - self._last_overload_at > _DISCONNECT_WINDOW_S
+        )
+        overloaded = crowded or self.is_out and not quiet
+        if overloaded != self.is_out:
+            self.is_out = overloaded
             self._log.note(
-                "clients turned away" if out else "clients taken again",
-                failed=out,
-                left_unread=len(self._left),
+                "clients turned away" if overloaded else "clients taken again",
+                failed=overloaded,
+                left_unread=len(self._disconnects),
                 level=level.name.lower(),
             )
-        return out
+        return overloaded
 
 
 class Pressure:
@@ -105,10 +111,10 @@
         self.lag = 0.0
         self.level = Level.NONE
 
-    def note(self, late):
+    def note(self, delay):
         """Take in by how much a wake-up was late."""
-        late = min(_MAX_COUNTED, max(0.0, late))
-        self.lag += _MEMORY * (late - self.lag)
+        delay = min(_MAX_SAMPLE_S, max(0.0, delay))
+        self.lag += _EWMA_ALPHA * (delay - self.lag)
         level = self._get_level()
         if level != self.level:
             self.level = level
@@ -121,9 +127,9 @@
 
     def _get_level(self):
         """Return the level; a lower one needs a clearly smaller lag."""
-        for level, limit in ((Level.SEVERE, _SEVERE), (Level.HIGH, _HIGH)):
+        for level, limit in ((Level.SEVERE, _SEVERE_LAG_S), (Level.HIGH, _HIGH_LAG_S)):
             if self.level >= level:
-                limit *= _RELIEVED_RATIO
+                limit *= _HYSTERESIS_RATIO
             if self.lag > limit:
                 return level
         return Level.NONE
