--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
@@ -6,22 +6,22 @@
 
 # Parts of the latency target: for the whole wait, and for what is ahead of a long
 # prompt.
-_TARGET_RATIO = 0.65
-_AHEAD_RATIO = 0.2
+_MAX_WAIT_RATIO = 0.65
+_MAX_QUEUE_RATIO = 0.2
 # Share of the latency target that work ahead takes at an engine that is crowded.
-_CROWDED_RATIO = 0.4
+_CROWDED_QUEUE_RATIO = 0.4
 # Times to come back, in seconds.
-_MIN_RETRY = 0.3
-_MIN_CALL_RETRY = 0.1
-_ELSEWHERE_RETRY = 0.02
+_MIN_RETRY_AFTER_S = 0.3
+_MIN_CALL_RETRY_AFTER_S = 0.1
+_OVERLOAD_RETRY_AFTER_S = 0.02
 # For a try beyond its account's share; shares are of a window four times as long.
-_BEYOND_RETRY = 1.0
+_BEYOND_SHARE_RETRY_AFTER_S = 1.0
 # A client that has spent more than this part of its time has come back.
-_RETURNED_RATIO = 0.03
+_RETRY_SPENT_RATIO = 0.03
 # Retries queue behind first attempts; the bound keeps a retry storm from delaying both.
-_MAX_INTAKE_RATIO = 0.25
+_MAX_RETRY_INTAKE_RATIO = 0.25
 # Its wait limit against the usual; near the greatest that a share gives.
-_RETURNED_FACTOR = 1.3
+_RETRY_SHARE_FACTOR = 1.3
 
 
 def decide_by_share(state, ctx, now):
@@ -34,7 +34,7 @@
     if ctx.account is None or ctx.prompt is None:
         return None
     ctx.draw = state.rng.random()
-    return _thin(state, ctx, get_standing(state, ctx, now), 0.0, now)
+    return _check_pass_rate(state, ctx, get_share_status(state, ctx, now), 0.0, now)
 
 
 def decide(state, ctx, choice, now):
@@ -45,20 +45,25 @@
     earlier still where its account has had more than its share.
     """
     target = state.latency_targets.note(ctx.service, ctx.route.latency_target, now)
-    standing = get_standing(state, ctx, now)
-    ctx.standing = standing
-    crowding = min(1.0, (choice.wait - choice.alone) / (_CROWDED_RATIO * target))
-    refusal = _thin(state, ctx, standing, crowding, now)
+    status = get_share_status(state, ctx, now)
+    ctx.standing = status
+    crowding = min(1.0, (choice.wait - choice.alone) / (_CROWDED_QUEUE_RATIO * target))
+    refusal = _check_pass_rate(state, ctx, status, crowding, now)
     if refusal is not None:
         return refusal
-    allowed = target * standing.factor
+    adjusted_target = target * status.share_factor
     # A prompt too long for its latency target gains nothing by coming back; it goes out
     # where little is ahead of it.
-    limit = max(_TARGET_RATIO * allowed, choice.alone + _AHEAD_RATIO * allowed)
+    limit = max(
+        _MAX_WAIT_RATIO * adjusted_target,
+        choice.alone + _MAX_QUEUE_RATIO * adjusted_target,
+    )
     if choice.wait <= limit:
         return None
-    retry_after = limit_retry(ctx, max(_MIN_RETRY, choice.wait - limit / 2), now)
-    inputs = describe(state, choice, standing, limit, now)
+    retry_after = limit_retry(
+        ctx, max(_MIN_RETRY_AFTER_S, choice.wait - limit / 2), now
+    )
+    inputs = describe_wait_inputs(state, choice, status, limit, now)
     return Refusal(503, "engines-busy", retry_after=retry_after, inputs=inputs)
 
 
@@ -72,10 +77,12 @@
     load = state.loads.get(choice.instance.id, now)
     if load.active + load.remote_active < choice.instance.slots:
         return None
-    limit = _get_target_left(ctx, now)
+    limit = _get_remaining_target(ctx, now)
     if choice.wait <= limit:
         return None
-    retry_after = max(_MIN_CALL_RETRY, choice.wait - ctx.route.latency_target / 2)
+    retry_after = max(
+        _MIN_CALL_RETRY_AFTER_S, choice.wait - ctx.route.latency_target / 2
+    )
     retry_after = limit_retry(ctx, retry_after, now)
     inputs = {
         "upstream": choice.instance.id,
@@ -88,24 +95,24 @@
     return Refusal(503, "calls-busy", retry_after=retry_after, inputs=inputs)
 
 
-def _get_target_left(ctx, now):
+def _get_remaining_target(ctx, now):
     """Return what is left of the latency target since the client's first try."""
     return ctx.route.latency_target - ctx.spent - (now - ctx.arrived)
 
 
-def _thin(state, ctx, standing, crowding, now):
+def _check_pass_rate(state, ctx, status, crowding, now):
     """Return None for the part of an account's tries that its share allows."""
     if ctx.account is None:
         return None
-    rate = compute_pass_rate(standing.view, ctx.prompt.cost, crowding)
-    if ctx.draw < rate:
+    pass_rate = compute_pass_rate(status.share, ctx.prompt.cost, crowding)
+    if ctx.draw < pass_rate:
         return None
     inputs = {
-        "pass_rate": round(rate, 4),
+        "pass_rate": round(pass_rate, 4),
         "crowding": round(crowding, 2),
-        **describe_standing(standing, get_oldest_report(state, now)),
+        **describe_standing(status, get_oldest_report_age(state, now)),
     }
-    retry_after = limit_retry(ctx, _BEYOND_RETRY, now)
+    retry_after = limit_retry(ctx, _BEYOND_SHARE_RETRY_AFTER_S, now)
     return Refusal(503, "beyond-share", retry_after=retry_after, inputs=inputs)
 
 
@@ -119,9 +126,9 @@
     level = max(state.get_pressure(), get_intake_level(wait, ctx.route.latency_target))
     if level is Level.NONE:
         return None
-    if is_returned(ctx) and wait <= _MAX_INTAKE_RATIO * ctx.route.latency_target:
+    if is_retry(ctx) and wait <= _MAX_RETRY_INTAKE_RATIO * ctx.route.latency_target:
         return None
-    if level is Level.HIGH and get_standing(state, ctx, now).factor >= 1.0:
+    if level is Level.HIGH and get_share_status(state, ctx, now).share_factor >= 1.0:
         return None
     inputs = {
         "lag_ms": round(state.pressure.lag * 1000),
@@ -129,16 +136,18 @@
         "intake_ms": round(wait * 1000),
         "level": level.name.lower(),
     }
-    return Refusal(503, "overloaded", retry_after=_ELSEWHERE_RETRY, inputs=inputs)
+    return Refusal(
+        503, "overloaded", retry_after=_OVERLOAD_RETRY_AFTER_S, inputs=inputs
+    )
 
 
-def get_oldest_report(state, now):
+def get_oldest_report_age(state, now):
     """Return the age in seconds of the oldest report that is counted in."""
     peers = state.members.get_live(now)
     return max((now - peer.heard for peer in peers), default=0.0)
 
 
-def describe(state, choice, standing, limit, now):
+def describe_wait_inputs(state, choice, status, limit, now):
     """Return what decided, for the log; times in milliseconds."""
     load = state.loads.get(choice.instance.id, now)
     return {
@@ -148,24 +157,26 @@
         "unread_own": load.unread,
         "unread_peers": load.remote_unread,
         "peers": len(state.members.get_live(now)),
-        **describe_standing(standing, get_oldest_report(state, now)),
+        **describe_standing(status, get_oldest_report_age(state, now)),
     }
 
 
-def get_standing(state, ctx, now):
-    """Return the `Standing` that decides on the request."""
+def get_share_status(state, ctx, now):
+    """Return the `ShareStatus` that decides on the request."""
     if ctx.account is None:
         return UNLIMITED
     cost = ctx.prompt.cost if ctx.prompt else 0
     declared = ctx.catalog.limits.tokens_per_second
-    standing = state.shares.get_standing(ctx.account.name, cost, now, declared)
-    if is_returned(ctx) and standing.factor >= 1.0:
+    status = state.shares.get_share_status(ctx.account.name, cost, now, declared)
+    if is_retry(ctx) and status.share_factor >= 1.0:
         # Refusing it again would make its client lose the whole request. Who has
         # had more than its share gains no more of it by coming back.
-        return standing._replace(factor=max(standing.factor, _RETURNED_FACTOR))
-    return standing
+        return status._replace(
+            share_factor=max(status.share_factor, _RETRY_SHARE_FACTOR)
+        )
+    return status
 
 
-def is_returned(ctx):
+def is_retry(ctx):
     """Return whether the client has tried before."""
-    return ctx.spent > _RETURNED_RATIO * (ctx.spent + ctx.allowed)
+    return ctx.spent > _RETRY_SPENT_RATIO * (ctx.spent + ctx.allowed)
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
@@ -13,31 +13,31 @@
 
 from ..digests import get_digest
 from ..fleet.sums import add_rows
-from .usage import Amount, compute_level
+from .usage import TokenUsage, compute_share_level
 
 # Seconds for which one reckoning of the level serves.
-_REFRESH = 0.05
+_REFRESH_INTERVAL_S = 0.05
 # Factors of the limit on waiting, by the part of its share that an account has had.
 _MIN_FACTOR = 0.25
 _MAX_FACTOR = 1.4
-_STEEPNESS = 3.0
-_SMALL_RATIO = 0.5
+_EXCESS_SLOPE_FACTOR = 3.0
+_LOW_USE_RATIO = 0.5
 # An account that has had less than this part of its due, by some of its requests, may
 # wait still longer, by as much as is added to its factor: late is better than never.
 _STARVED_RATIO = 0.8
-_STARVED_REQUESTS = 2
-_STARVED_FACTOR = 1.5
+_STARVED_REQUEST_COUNT = 2
+_STARVED_EXTRA_FACTOR = 1.5
 # How many times its share an account's tries may make up, where nothing waits at the
 # engine and where much does. The first keeps engines busy and finds out when more can
 # be served.
-_MAX_HEADROOM = 8.0
-_MIN_HEADROOM = 1.0
+_MAX_HEADROOM_FACTOR = 8.0
+_MIN_HEADROOM_FACTOR = 1.0
 # Exponent of its lead by which an account beyond its share is thinned further.
-_CORRECTION = 2.0
-_NOTHING = Amount(0, 0)
+_EXCESS_EXPONENT = 2.0
+_NO_USAGE = TokenUsage(0, 0)
 
 
-class ShareView(NamedTuple):
+class AccountShare(NamedTuple):
     """What is known of an account, in tokens of the window.
 
     ``own_begun`` is this gateway's part of ``begun``. ``level`` is what nobody should
@@ -52,20 +52,20 @@
     declared_level: float = 0
 
 
-class Standing(NamedTuple):
+class ShareStatus(NamedTuple):
     """How far an account is in its share.
 
-    ``factor`` is by how much its wait limit differs, about 1: an account beyond
+    ``share_factor`` is by how much its wait limit differs, about 1: an account beyond
     its share meets a lower limit at once, and one far below it a higher one, so
     that what is left of the engines' queues goes to those below their share.
     """
 
-    factor: float
-    view: ShareView = ShareView()
+    share_factor: float
+    share: AccountShare = AccountShare()
 
 
 # Of a request without an account.
-UNLIMITED = Standing(1.0)
+UNLIMITED = ShareStatus(1.0)
 
 
 class Shares:
@@ -79,10 +79,10 @@
         self._usage = usage
         self._window = cfg.window
         self._lock = threading.Lock()
-        self._at = -1.0
+        self._refreshed_at = -1.0
         self._level = float("inf")
         self._declared_level = 0.0
-        self._amounts = {}
+        self._fleet_usage = {}
         self._remote = {}
 
     def note_asked(self, account, cost, now):
@@ -93,49 +93,53 @@
         """Count the tokens of a request that an upstream was sent."""
         self._usage.add(get_digest(account), 0, cost, now)
 
-    def set_remote(self, amounts):
+    def set_remote(self, usage_by_account):
         """Take in what the other gateways were asked and began, by account."""
-        self._remote = amounts
+        self._remote = usage_by_account
 
-    def get_standing(self, account, cost, now, tokens_per_second=0.0):
-        """Return the `Standing` of an account that asks for ``cost`` tokens.
+    def get_share_status(self, account, cost, now, tokens_per_second=0.0):
+        """Return the `ShareStatus` of an account that asks for ``cost`` tokens.
 
         ``tokens_per_second`` is what upstreams are declared to make.
         """
         with self._lock:
             self._refresh(now, tokens_per_second)
-            view = self._get_view(get_digest(account))
-        return Standing(compute_factor(view, cost), view)
+            share = self._get_account_share(get_digest(account))
+        return ShareStatus(compute_share_factor(share, cost), share)
 
     def get_level(self):
         """Return the level last reckoned, infinity where there is none."""
         return self._level
 
-    def _get_view(self, digest):
-        amount = self._amounts.get(digest, _NOTHING)
-        begun_elsewhere = self._remote.get(digest, _NOTHING)[1]
-        return ShareView(
-            amount.asked,
-            amount.begun,
-            amount.begun - begun_elsewhere,
+    def _get_account_share(self, digest):
+        usage = self._fleet_usage.get(digest, _NO_USAGE)
+        remote_begun = self._remote.get(digest, _NO_USAGE)[1]
+        return AccountShare(
+            usage.asked,
+            usage.begun,
+            usage.begun - remote_begun,
             None if self._level == float("inf") else self._level,
             self._declared_level,
         )
 
     def _refresh(self, now, tokens_per_second):
-        if now - self._at < _REFRESH:
+        if now - self._refreshed_at < _REFRESH_INTERVAL_S:
             return
-        self._at = now
-        amounts = dict(self._usage.get_amounts(now))
-        add_rows(amounts, self._remote)
-        self._amounts = {name: Amount(*row) for name, row in amounts.items()}
-        begun = sum(amount.begun for amount in self._amounts.values())
-        asked = [amount.asked for amount in self._amounts.values()]
-        self._level = compute_level(asked, begun)
-        self._declared_level = compute_level(asked, tokens_per_second * self._window)
+        self._refreshed_at = now
+        usage_by_account = dict(self._usage.get_amounts(now))
+        add_rows(usage_by_account, self._remote)
+        self._fleet_usage = {
+            name: TokenUsage(*row) for name, row in usage_by_account.items()
+        }
+        begun = sum(usage.begun for usage in self._fleet_usage.values())
+        asked = [usage.asked for usage in self._fleet_usage.values()]
+        self._level = compute_share_level(asked, begun)
+        self._declared_level = compute_share_level(
+            asked, tokens_per_second * self._window
+        )
 
 
-def compute_pass_rate(view, cost, crowding):
+def compute_pass_rate(share, cost, crowding):
     """Return the part of an account's tries that may go on to the engines.
 
     Parameters
@@ -147,61 +151,65 @@
     crowding : float
         From 0 where nothing waits at the engine to 1 where much does.
     """
-    if view.level is None or view.asked <= 0:
+    if share.level is None or share.asked <= 0:
         return 1.0
-    headroom = _MAX_HEADROOM + (_MIN_HEADROOM - _MAX_HEADROOM) * crowding
+    headroom = (
+        _MAX_HEADROOM_FACTOR + (_MIN_HEADROOM_FACTOR - _MAX_HEADROOM_FACTOR) * crowding
+    )
     # After an outage nothing was begun, and by the level alone a usual load would be
     # thinned for 2 s on idle engines; by what is declared all of it passes.
     # It may be infinite, which times nothing is no number.
-    level = view.level
+    level = share.level
     if crowding < 1.0:
-        level = max(level, (1.0 - crowding) * view.declared_level)
-    rate = (headroom * level + cost) / view.asked
-    if view.begun > level:
-        rate *= (level / view.begun) ** _CORRECTION
+        level = max(level, (1.0 - crowding) * share.declared_level)
+    rate = (headroom * level + cost) / share.asked
+    if share.begun > level:
+        rate *= (level / share.begun) ** _EXCESS_EXPONENT
     return min(1.0, rate)
 
 
-def compute_factor(view, cost):
+def compute_share_factor(share, cost):
     """Return the factor of the wait limit of an account that asks for ``cost``."""
-    if view.level is None:
+    if share.level is None:
         return 1.0
     # The level is 0 where nothing was asked for within the window.
-    used = view.begun / view.level if view.begun else 0.0
-    if used > 1.0:
-        return max(_MIN_FACTOR, 1.0 - _STEEPNESS * (used - 1.0))
-    return max(_compute_factor_below(used), _compute_starved_factor(view, cost))
+    used_ratio = share.begun / share.level if share.begun else 0.0
+    if used_ratio > 1.0:
+        return max(_MIN_FACTOR, 1.0 - _EXCESS_SLOPE_FACTOR * (used_ratio - 1.0))
+    return max(
+        _compute_in_share_factor(used_ratio), _compute_starved_factor(share, cost)
+    )
 
 
-def _compute_factor_below(used):
-    if used <= _SMALL_RATIO:
+def _compute_in_share_factor(used_ratio):
+    if used_ratio <= _LOW_USE_RATIO:
         return _MAX_FACTOR
-    below = (1.0 - used) / (1.0 - _SMALL_RATIO)
-    return 1.0 + below * (_MAX_FACTOR - 1.0)
+    unused_ratio = (1.0 - used_ratio) / (1.0 - _LOW_USE_RATIO)
+    return 1.0 + unused_ratio * (_MAX_FACTOR - 1.0)
 
 
-def _compute_starved_factor(view, cost):
-    due = min(view.asked, view.level)
-    missing = _STARVED_RATIO * due - view.begun
-    if missing <= 0 or cost <= 0:
+def _compute_starved_factor(share, cost):
+    entitlement = min(share.asked, share.level)
+    shortfall = _STARVED_RATIO * entitlement - share.begun
+    if shortfall <= 0 or cost <= 0:
         return 0.0
-    part = min(1.0, missing / (_STARVED_REQUESTS * cost))
-    return _MAX_FACTOR + part * _STARVED_FACTOR
+    shortfall_ratio = min(1.0, shortfall / (_STARVED_REQUEST_COUNT * cost))
+    return _MAX_FACTOR + shortfall_ratio * _STARVED_EXTRA_FACTOR
 
 
-def describe_standing(standing, oldest_report=None):
-    """Return a `Standing` for the log; tokens of the window, ages in milliseconds.
+def describe_standing(status, oldest_report_age=None):
+    """Return a `ShareStatus` for the log; tokens of the window, ages in milliseconds.
 
-    ``oldest_report`` is the age in seconds of the oldest report counted in.
+    ``oldest_report_age`` is the age in seconds of the oldest report counted in.
     """
-    view = standing.view
+    share = status.share
     fields = {
-        "share_factor": round(standing.factor, 2),
-        "share_level": None if view.level is None else round(view.level),
-        "account_asked": round(view.asked),
-        "account_begun": round(view.begun),
-        "account_begun_here": round(view.own_begun),
+        "share_factor": round(status.share_factor, 2),
+        "share_level": None if share.level is None else round(share.level),
+        "account_asked": round(share.asked),
+        "account_begun": round(share.begun),
+        "account_begun_here": round(share.own_begun),
     }
-    if oldest_report is not None:
-        fields["oldest_report_ms"] = round(oldest_report * 1000)
+    if oldest_report_age is not None:
+        fields["oldest_report_ms"] = round(oldest_report_age * 1000)
     return fields
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/usage.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/usage.py
@@ -4,10 +4,10 @@
 import threading
 from typing import NamedTuple
 
-_BUCKETS = 8
+_BUCKET_COUNT = 8
 
 
-class Amount(NamedTuple):
+class TokenUsage(NamedTuple):
     """Tokens of one account within the window."""
 
     asked: float
@@ -18,7 +18,7 @@
     """Sums of this gateway over the last ``window`` seconds, kept in buckets."""
 
     def __init__(self, window):
-        self._width = window / _BUCKETS
+        self._bucket_width = window / _BUCKET_COUNT
         self._lock = threading.Lock()
         self._buckets = collections.deque()
         self._sums = {}
@@ -30,9 +30,9 @@
         with self._lock:
             self.version += 1
             self._expire(now)
-            slot = int(now / self._width)
-            if not self._buckets or self._buckets[-1][0] != slot:
-                self._buckets.append((slot, {}))
+            bucket_number = int(now / self._bucket_width)
+            if not self._buckets or self._buckets[-1][0] != bucket_number:
+                self._buckets.append((bucket_number, {}))
             for table in (self._buckets[-1][1], self._sums):
                 old_asked, old_begun = table.get(account, (0, 0))
                 table[account] = (old_asked + asked, old_begun + begun)
@@ -41,21 +41,24 @@
         """Return {account: Amount} within the window."""
         with self._lock:
             self._expire(now)
-            return {name: Amount(a, b) for name, (a, b) in self._sums.items()}
+            return {
+                name: TokenUsage(asked, begun)
+                for name, (asked, begun) in self._sums.items()
+            }
 
     def _expire(self, now):
-        oldest = int(now / self._width) - _BUCKETS
+        oldest = int(now / self._bucket_width) - _BUCKET_COUNT
         while self._buckets and self._buckets[0][0] <= oldest:
             for account, (asked, begun) in self._buckets.popleft()[1].items():
-                left_asked = self._sums[account][0] - asked
-                left_begun = self._sums[account][1] - begun
-                if left_asked <= 0 and left_begun <= 0:
+                remaining_asked = self._sums[account][0] - asked
+                remaining_begun = self._sums[account][1] - begun
+                if remaining_asked <= 0 and remaining_begun <= 0:
                     del self._sums[account]
                 else:
-                    self._sums[account] = (left_asked, left_begun)
+                    self._sums[account] = (remaining_asked, remaining_begun)
 
 
-def compute_level(asked, capacity):
+def compute_share_level(asked, capacity):
     """Return the max-min level: nobody gets more, all below get what they ask.
 
     Parameters
@@ -70,11 +73,11 @@
     float
         Infinity where all can have what they ask.
     """
-    left = capacity
-    rows = sorted(asked)
-    for index, amount in enumerate(rows):
-        share = left / (len(rows) - index)
-        if amount > share:
-            return share
-        left -= amount
+    remaining = capacity
+    amounts = sorted(asked)
+    for index, amount in enumerate(amounts):
+        even_share = remaining / (len(amounts) - index)
+        if amount > even_share:
+            return even_share
+        remaining -= amount
     return float("inf")
