--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/__init__.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Who is served now and who is told to come back: shares, limits on waiting, load.
+"""Admission control: fair shares of accounts, wait limits and overload.
 
-Imports ``fleet`` for sums over its reports; decides without sockets.
+Imports ``fleet`` to add up the usage in peers' reports. It performs no I/O.
 """
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/client_deadlines.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/client_deadlines.py
@@ -1,17 +1,18 @@
-"""How long clients of a route are ready to wait, found out from what they say.
+"""Time that clients have spent on earlier attempts, derived from their deadlines.
 
-A client says with each try how long it will still wait. Its first try says the most, so
-what a try says less than the most of late has been spent on tries before it. The
-route's own timeout tells nothing of that: it may be shorter or longer. Where clients of
-one route differ, the less patient ones count as having come back.
+Each attempt carries the time that its client will still wait. The first attempt of a
+request carries the longest time, so the difference to the longest recent one on the
+route is taken as spent on earlier attempts. The route's timeout cannot serve as the
+reference, since it may be shorter or longer than the clients' deadlines. If clients of
+one route use different deadlines, requests with the shorter ones count as retries.
 """
 
-# Seconds for which what clients said counts, at least; twice that at most.
+# Values are kept for at least this long and at most twice as long.
 _WINDOW_S = 5.0
 
 
 class Patience:
-    """The longest waits that clients of each route named lately, in seconds."""
+    """The longest remaining times of recent attempts, by route and in seconds."""
 
     def __init__(self):
         self._window_start = 0.0
@@ -19,7 +20,7 @@
         self._previous_max = {}
 
     def note(self, route, remaining, now):
-        """Note a try; return the seconds spent on tries before it."""
+        """Record an attempt; return the seconds spent on earlier attempts."""
         if now - self._window_start > _WINDOW_S:
             self._window_start = now
             self._previous_max, self._current_max = self._current_max, {}
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/intake.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/intake.py
@@ -1,8 +1,8 @@
-"""Bounds how many new requests one turn of the event loop takes up.
+"""Bounds how many new requests one iteration of the event loop admits.
 
-Deciding on a request takes the longest of all that a gateway does. After a burst
-the rest wait for the next turns, so that streams under way, reports and the
-balancer's questions are never behind all of it.
+The admission decision is the most expensive step of a gateway. After a burst, the
+remaining requests wait for later iterations, so that active streams, reports and the
+load balancer's readiness checks are not queued behind the whole burst.
 """
 
 import asyncio
@@ -10,17 +10,16 @@
 
 from valeweir.timers import get_lease_time
 
-# About 4 ms on half a core, a fifth of the interval between reports: 0.25 ms for a
-# stream (valeweir_standin.path) and 0.1 ms for a placement among 30 engines.
+# Takes about 4 ms on half a core, a fifth of the interval between reports: 0.25 ms for
+# a stream (valeweir_standin.path) and 0.1 ms for a placement among 30 engines.
 _MAX_REQUESTS_PER_ITERATION = 6
-# Part of the mean time a request that a new figure makes up.
 _EWMA_ALPHA = 0.1
-# Seconds a request to begin with; the turns of the first crowded moment teach more.
+# Used until iterations with waiting requests give samples.
 _INITIAL_REQUEST_TIME_S = 0.001
 
 
 class Intake:
-    """Lets requests pass in order of arrival, a few for each turn of the loop."""
+    """Admits requests in order of arrival, a few per iteration of the event loop."""
 
     def __init__(self, clock=get_lease_time):
         self._clock = clock
@@ -34,11 +33,11 @@
         return len(self._waiting)
 
     def estimate_wait(self):
-        """Return seconds until a request that comes now has its turn."""
+        """Return the seconds until a request that arrives now is admitted."""
         return len(self._waiting) * self._request_time
 
     async def enter(self):
-        """Wait for this request's turn."""
+        """Wait until this request is admitted."""
         if self._admitted_count < _MAX_REQUESTS_PER_ITERATION and not self._waiting:
             self._count_admission()
             return
@@ -57,7 +56,7 @@
             asyncio.get_running_loop().call_soon(self._release)
 
     def _update_request_time(self):
-        """Learn the time a request from that between turns with some waiting."""
+        """Update the mean time per request from iterations with waiting requests."""
         now = self._clock()
         if self._released_at is not None and self._waiting and self._admitted_count:
             spent = (now - self._released_at) / self._admitted_count
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/latency_targets.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/latency_targets.py
@@ -1,7 +1,7 @@
 """Latency targets of the routes in use, by service.
 
-An engine reads prompts in order of arrival, so the queue that a patient route
-lets grow is met by the others too.
+An engine reads prompts in order of arrival, so a queue that a route with a long
+latency target allows also delays the requests of other routes.
 """
 
 import math
@@ -11,14 +11,14 @@
 
 
 class RecentTargets:
-    """Which latency targets requests of a service had lately, in seconds."""
+    """Latency targets of the recent requests to each service, in seconds."""
 
     def __init__(self):
         self._lock = threading.Lock()
         self._used_at = {}
 
     def note(self, service, target, now):
-        """Note a request with this latency target; return the least one in use."""
+        """Record a request with this latency target; return the shortest in use."""
         with self._lock:
             used_at = self._used_at.setdefault(service, {})
             used_at[target] = now
@@ -29,7 +29,7 @@
             return min(used_at)
 
     def get_least(self, now):
-        """Return the least latency target in use at any service, infinity for none."""
+        """Return the shortest latency target in use at any service, or infinity."""
         with self._lock:
             rows = [
                 row for used_at in self._used_at.values() for row in used_at.items()
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
@@ -1,34 +1,35 @@
-"""Whether this gateway keeps up: its processor, and the requests under way.
+"""Overload detection from event-loop lag, requests in flight and intake wait.
 
-The lag of the event loop shows it: a timer is late by what is queued before it.
+A timer of the event loop fires late by the run time of the callbacks queued before it,
+so its delay shows whether the processor keeps up.
 """
 
 import collections
 from enum import IntEnum
 
-# Part of the mean that a new figure makes up.
 _EWMA_ALPHA = 0.2
-# Lags in seconds. One long stop, of the host or of a collection, is no queue. A request
-# takes some five turns of the loop to its upstream: at the second limit half a second
-# and most of its latency target.
+# Upper bound of one sample, since a single long stop of the host or of a garbage
+# collection is not a queue.
 _MAX_SAMPLE_S = 0.24
+# A request takes about five iterations of the event loop to reach its upstream. At the
+# severe limit these take half a second, which is most of its latency target.
 _HIGH_LAG_S = 0.05
 _SEVERE_LAG_S = 0.1
-# A level ends below this part of the lag that began it.
+# A level ends when the lag falls below this part of the level's limit.
 _HYSTERESIS_RATIO = 0.6
-# Parts of the requests that may be under way.
+# Parts of the maximum number of requests in flight.
 _HIGH_INFLIGHT_RATIO = 0.7
 _SEVERE_INFLIGHT_RATIO = 0.85
-# Parts of a request's latency target that it may wait to be looked at.
+# Parts of the latency target that a request waits for admission.
 _HIGH_INTAKE_WAIT_RATIO = 0.1
 _SEVERE_INTAKE_WAIT_RATIO = 0.2
-# Clients that leave before they are read, within a window in seconds.
+# Clients that disconnect before their requests are read, within the window.
 _OVERLOAD_DISCONNECT_COUNT = 8
 _DISCONNECT_WINDOW_S = 1.0
 
 
 class Level(IntEnum):
-    """How far behind the processor is."""
+    """How overloaded a gateway is."""
 
     NONE = 0
     HIGH = 1
@@ -36,9 +37,10 @@
 
 
 def get_occupancy_level(inflight, max_inflight):
-    """Return the level of a gateway that has ``inflight`` of ``max_inflight`` requests.
+    """Return the level of a gateway with ``inflight`` of ``max_inflight`` requests.
 
-    Some room is left for telling clients to go elsewhere at once.
+    The limits leave room to refuse further requests at once, so that their clients
+    retry at another gateway.
     """
     if inflight > _SEVERE_INFLIGHT_RATIO * max_inflight:
         return Level.SEVERE
@@ -48,9 +50,10 @@
 
 
 def get_intake_level(wait, latency_target):
-    """Return the level of a gateway at which a request waits for its turn.
+    """Return the level of a gateway where a request waits ``wait`` seconds for intake.
 
-    A client that is sent elsewhere at once has most of its latency target left there.
+    A client that is refused at once has most of its latency target left for a retry at
+    another gateway.
     """
     if wait > _SEVERE_INTAKE_WAIT_RATIO * latency_target:
         return Level.SEVERE
@@ -60,10 +63,11 @@
 
 
 class Overload:
-    """Whether this gateway should get no more clients for now.
+    """Detects whether the load balancer should send this gateway no new clients.
 
-    Clients that leave before they are read show it best: what waits is then
-    longer than anybody's patience. It lasts until a while without them.
+    The best sign is clients that disconnect before their requests are read, since the
+    queue is then longer than clients are ready to wait. The state ends after a window
+    without such disconnects and without severe load.
     """
 
     def __init__(self, log):
@@ -73,12 +77,12 @@
         self.is_out = False
 
     def note_left(self, now):
-        """Note a client that left before its request was read."""
+        """Record a client that disconnected before its request was read."""
         self._disconnects.append(now)
         self._last_overload_at = now
 
     def check(self, level, now):
-        """Take in the `Level`; return whether to get no more clients."""
+        """Apply the current `Level`; return whether to accept no new clients."""
         while self._disconnects and now - self._disconnects[0] > _DISCONNECT_WINDOW_S:
             self._disconnects.popleft()
         if level is Level.SEVERE:
@@ -104,7 +108,7 @@
 
 
 class Pressure:
-    """A moving mean of how late a periodic timer of the loop is, in seconds."""
+    """Moving mean of the event-loop lag in seconds, and the level that it gives."""
 
     def __init__(self, log):
         self._log = log
@@ -112,7 +116,7 @@
         self.level = Level.NONE
 
     def note(self, delay):
-        """Take in by how much a wake-up was late."""
+        """Add a sample: the delay of a periodic timer, in seconds."""
         delay = min(_MAX_SAMPLE_S, max(0.0, delay))
         self.lag += _EWMA_ALPHA * (delay - self.lag)
         level = self._get_level()
@@ -126,7 +130,7 @@
             )
 
     def _get_level(self):
-        """Return the level; a lower one needs a clearly smaller lag."""
+        """Return the level for the lag, with hysteresis when it falls."""
         for level, limit in ((Level.SEVERE, _SEVERE_LAG_S), (Level.HIGH, _HIGH_LAG_S)):
             if self.level >= level:
                 limit *= _HYSTERESIS_RATIO
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/usage.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/usage.py
@@ -1,4 +1,8 @@
-"""Tokens asked and begun by client account in a sliding window."""
+"""Tokens asked and begun by client account in a sliding window.
+
+Asked tokens are those of all requests received, begun tokens those of requests that
+were sent to an upstream.
+"""
 
 import collections
 import threading
@@ -15,18 +19,18 @@
 
 
 class UsageWindow:
-    """Sums of this gateway over the last ``window`` seconds, kept in buckets."""
+    """Usage at this gateway over the last ``window`` seconds, kept in buckets."""
 
     def __init__(self, window):
         self._bucket_width = window / _BUCKET_COUNT
         self._lock = threading.Lock()
         self._buckets = collections.deque()
         self._sums = {}
-        # Rises with each amount that is added.
+        # Incremented by each `add`.
         self.version = 0
 
     def add(self, account, asked, begun, now):
-        """Count tokens of a request at this gateway."""
+        """Add the tokens of a request at this gateway."""
         with self._lock:
             self.version += 1
             self._expire(now)
@@ -59,19 +63,21 @@
 
 
 def compute_share_level(asked, capacity):
-    """Return the max-min level: nobody gets more, all below get what they ask.
+    """Return the share level of a max-min fair division.
+
+    No account gets more than the level, and accounts that ask for less get all of it.
 
     Parameters
     ----------
     asked : iterable of float
-        What each account asks.
+        Demand of each account.
     capacity : float
-        What can be given in all, in the same unit.
+        Total to divide, in the same unit.
 
     Returns
     -------
     float
-        Infinity where all can have what they ask.
+        Infinity if the capacity covers the demand of all accounts.
     """
     remaining = capacity
     amounts = sorted(asked)
