--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
@@ -1,35 +1,34 @@
-"""Whether a model request goes out now or is told when to come back."""
+"""Decides whether a request is sent now or refused with a time to retry."""
 
 from ..refusals import Refusal, limit_retry
 from .pressure import Level, get_intake_level
 from .shares import UNLIMITED, compute_pass_rate, describe_standing
 
-# Parts of the latency target: for the whole wait, and for what is ahead of a long
-# prompt.
+# Parts of the latency target: limit of the whole wait, and limit of the queue ahead of
+# a long prompt.
 _MAX_WAIT_RATIO = 0.65
 _MAX_QUEUE_RATIO = 0.2
-# Share of the latency target that work ahead takes at an engine that is crowded.
+# An engine is crowded if the queue takes this part of the latency target.
 _CROWDED_QUEUE_RATIO = 0.4
-# Times to come back, in seconds.
 _MIN_RETRY_AFTER_S = 0.3
 _MIN_CALL_RETRY_AFTER_S = 0.1
 _OVERLOAD_RETRY_AFTER_S = 0.02
-# For a try beyond its account's share; shares are of a window four times as long.
+# Shares are of a window four times as long.
 _BEYOND_SHARE_RETRY_AFTER_S = 1.0
-# A client that has spent more than this part of its time has come back.
+# A client that has spent more than this part of its time is on a retry.
 _RETRY_SPENT_RATIO = 0.03
 # Retries queue behind first attempts; the bound keeps a retry storm from delaying both.
 _MAX_RETRY_INTAKE_RATIO = 0.25
-# Its wait limit against the usual; near the greatest that a share gives.
+# Wait-limit factor of retries, close to the highest that a share gives.
 _RETRY_SHARE_FACTOR = 1.3
 
 
 def decide_by_share(state, ctx, now):
-    """Return None, or the `Refusal` of a try beyond its account's share.
+    """Return the `Refusal` of an attempt beyond its account's share, or None.
 
-    Before engines are looked at: a flood costs this gateway little then, and what
-    cannot be served is told so at once. Those that pass may still be refused where
-    their engine turns out crowded; one draw serves for both.
+    This check runs before placement, so that a flood costs this gateway little and
+    attempts that cannot be served are refused at once. Attempts that pass may still be
+    refused if their engine is crowded; both checks use the same random draw.
     """
     if ctx.account is None or ctx.prompt is None:
         return None
@@ -38,11 +37,11 @@
 
 
 def decide(state, ctx, choice, now):
-    """Return None to send, or the `Refusal`.
+    """Return the `Refusal` of a model request with too long a wait, or None.
 
-    A request goes out while its first event is expected well within the
-    route's latency target, since half of the waits turn out longer than expected, and
-    earlier still where its account has had more than its share.
+    A request is sent while its first event is expected well within the route's latency
+    target, since half of the waits turn out longer than expected. The limit is lower
+    still if the account is beyond its share.
     """
     target = state.latency_targets.note(ctx.service, ctx.route.latency_target, now)
     status = get_share_status(state, ctx, now)
@@ -52,8 +51,8 @@
     if refusal is not None:
         return refusal
     adjusted_target = target * status.share_factor
-    # A prompt too long for its latency target gains nothing by coming back; it goes out
-    # where little is ahead of it.
+    # A prompt too long for its latency target gains nothing from a retry, so it is sent
+    # if the queue ahead of it is short.
     limit = max(
         _MAX_WAIT_RATIO * adjusted_target,
         choice.alone + _MAX_QUEUE_RATIO * adjusted_target,
@@ -68,11 +67,11 @@
 
 
 def decide_call(state, ctx, choice, now):
-    """Return None to send a plain call, or the `Refusal`.
+    """Return the `Refusal` of a plain call with too long a wait, or None.
 
-    Where no place is free, calls wait in the upstream's own queue, and with each one
-    that will be late those behind it become late too. So it goes out to a free place,
-    or where what is left of its latency target bears the wait.
+    Without a free slot, calls wait in the upstream's own queue, and each late call also
+    delays those behind it. A call is therefore sent only to a free slot, or if the rest
+    of its latency target covers the wait.
     """
     load = state.loads.get(choice.instance.id, now)
     if load.active + load.remote_active < choice.instance.slots:
@@ -96,12 +95,12 @@
 
 
 def _get_remaining_target(ctx, now):
-    """Return what is left of the latency target since the client's first try."""
+    """Return the rest of the latency target, counted from the first attempt."""
     return ctx.route.latency_target - ctx.spent - (now - ctx.arrived)
 
 
 def _check_pass_rate(state, ctx, status, crowding, now):
-    """Return None for the part of an account's tries that its share allows."""
+    """Return the `Refusal` of an attempt that the pass rate excludes, or None."""
     if ctx.account is None:
         return None
     pass_rate = compute_pass_rate(status.share, ctx.prompt.cost, crowding)
@@ -117,10 +116,10 @@
 
 
 def decide_by_pressure(state, ctx, now):
-    """Return None, or the `Refusal` where this gateway does not keep up.
+    """Return the `Refusal` of a request at an overloaded gateway, or None.
 
-    Who has had more than its share goes first. Another gateway may have time,
-    and a client that comes back reaches another one.
+    Accounts beyond their share are refused first. A client that retries reaches another
+    gateway, which may have capacity.
     """
     wait = state.intake.estimate_wait()
     level = max(state.get_pressure(), get_intake_level(wait, ctx.route.latency_target))
@@ -142,13 +141,13 @@
 
 
 def get_oldest_report_age(state, now):
-    """Return the age in seconds of the oldest report that is counted in."""
+    """Return the age in seconds of the oldest report in the sums."""
     peers = state.members.get_live(now)
     return max((now - peer.heard for peer in peers), default=0.0)
 
 
 def describe_wait_inputs(state, choice, status, limit, now):
-    """Return what decided, for the log; times in milliseconds."""
+    """Return the inputs of the decision for the log; times in milliseconds."""
     load = state.loads.get(choice.instance.id, now)
     return {
         "upstream": choice.instance.id,
@@ -162,15 +161,15 @@
 
 
 def get_share_status(state, ctx, now):
-    """Return the `ShareStatus` that decides on the request."""
+    """Return the `ShareStatus` that applies to the request."""
     if ctx.account is None:
         return UNLIMITED
     cost = ctx.prompt.cost if ctx.prompt else 0
     declared = ctx.catalog.limits.tokens_per_second
     status = state.shares.get_share_status(ctx.account.name, cost, now, declared)
     if is_retry(ctx) and status.share_factor >= 1.0:
-        # Refusing it again would make its client lose the whole request. Who has
-        # had more than its share gains no more of it by coming back.
+        # If a retry is refused, its client loses the whole request. An account beyond
+        # its share gains nothing from retries.
         return status._replace(
             share_factor=max(status.share_factor, _RETRY_SHARE_FACTOR)
         )
@@ -178,5 +177,5 @@
 
 
 def is_retry(ctx):
-    """Return whether the client has tried before."""
+    """Return whether the client has made an earlier attempt."""
     return ctx.spent > _RETRY_SPENT_RATIO * (ctx.spent + ctx.allowed)
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
@@ -1,11 +1,11 @@
-"""How far each client account is in its fair share of what the fleet serves.
-
-Refusing at once keeps no order: the account that tries most often gets the next free
-place, however low its limit on waiting. So the tries of an account that asks for more
-than its share are thinned first, before engines are looked at, until what is left of
-them is its share (approximate fair dropping: Pan, Breslau, Prabhakar and Shenker,
-2003). Each gateway draws by itself, and one that sees only a part of the fleet shares
-that part out.
+"""Max-min fair shares of client accounts in what the fleet serves.
+
+Immediate refusal keeps no queue order: the account that retries most often gets the
+next free slot, however low its wait limit. Attempts of an account that asks for more
+than its share are therefore dropped at random before placement, until the rest amounts
+to its share (approximate fair dropping: Pan, Breslau, Prabhakar and Shenker, 2003).
+Each gateway draws independently. A gateway that sees only a part of the fleet divides
+the capacity of that part.
 """
 
 import threading
@@ -15,34 +15,35 @@
 from ..fleet.sums import add_rows
 from .usage import TokenUsage, compute_share_level
 
-# Seconds for which one reckoning of the level serves.
+# The share level is computed at most once per interval.
 _REFRESH_INTERVAL_S = 0.05
-# Factors of the limit on waiting, by the part of its share that an account has had.
+# Factors of the wait limit, by the part of its share that an account has used.
 _MIN_FACTOR = 0.25
 _MAX_FACTOR = 1.4
 _EXCESS_SLOPE_FACTOR = 3.0
 _LOW_USE_RATIO = 0.5
-# An account that has had less than this part of its due, by some of its requests, may
-# wait still longer, by as much as is added to its factor: late is better than never.
+# An account is starved if it has begun less than this part of its entitlement. Its
+# factor then grows by up to the extra factor, which a shortfall of this many of its
+# requests gives in full: a late answer is better than none.
 _STARVED_RATIO = 0.8
 _STARVED_REQUEST_COUNT = 2
 _STARVED_EXTRA_FACTOR = 1.5
-# How many times its share an account's tries may make up, where nothing waits at the
-# engine and where much does. The first keeps engines busy and finds out when more can
-# be served.
+# Attempts that pass, as a multiple of the account's share: the maximum if nothing is
+# queued at the engine, the minimum if much is. The maximum keeps engines busy and
+# detects when more can be served.
 _MAX_HEADROOM_FACTOR = 8.0
 _MIN_HEADROOM_FACTOR = 1.0
-# Exponent of its lead by which an account beyond its share is thinned further.
+# The pass rate of an account beyond its share falls by this power of its excess.
 _EXCESS_EXPONENT = 2.0
 _NO_USAGE = TokenUsage(0, 0)
 
 
 class AccountShare(NamedTuple):
-    """What is known of an account, in tokens of the window.
+    """Usage of an account in the whole fleet and share levels, in tokens of the window.
 
-    ``own_begun`` is this gateway's part of ``begun``. ``level`` is what nobody should
-    exceed, None where all have what they ask; ``declared_level`` is what it would be if
-    upstreams made what they are declared to make.
+    ``own_begun`` is this gateway's part of ``begun``. ``level`` is the share level that
+    no account should exceed, None if all accounts get what they ask for.
+    ``declared_level`` is the share level at the declared rate of the upstreams.
     """
 
     asked: float = 0
@@ -53,26 +54,27 @@
 
 
 class ShareStatus(NamedTuple):
-    """How far an account is in its share.
+    """Usage of an account relative to its share, and the resulting wait limit.
 
-    ``share_factor`` is by how much its wait limit differs, about 1: an account beyond
-    its share meets a lower limit at once, and one far below it a higher one, so
-    that what is left of the engines' queues goes to those below their share.
+    ``share_factor`` multiplies the wait limit. It is below 1 as soon as an account
+    exceeds its share and above 1 for accounts far below it, so that the rest of the
+    engines' queues goes to accounts below their share.
     """
 
     share_factor: float
     share: AccountShare = AccountShare()
 
 
-# Of a request without an account.
+# Status of a request without an account.
 UNLIMITED = ShareStatus(1.0)
 
 
 class Shares:
-    """Standing of accounts by the fleet-wide usage window.
+    """Share status of accounts, from their usage in the whole fleet.
 
-    The level is max-min over what accounts asked of what was begun for all of them.
-    What is declared counts on idle engines only: those that are slow or down make less.
+    The share level divides the tokens begun for all accounts among them by max-min
+    fairness over the tokens that they asked for. The declared rate counts at idle
+    engines only, since slow or failed upstreams serve less.
     """
 
     def __init__(self, usage, cfg):
@@ -86,21 +88,21 @@
         self._remote = {}
 
     def note_asked(self, account, cost, now):
-        """Count the tokens of a request that has come."""
+        """Count the tokens of a received request."""
         self._usage.add(get_digest(account), cost, 0, now)
 
     def note_begun(self, account, cost, now):
-        """Count the tokens of a request that an upstream was sent."""
+        """Count the tokens of a request that was sent to an upstream."""
         self._usage.add(get_digest(account), 0, cost, now)
 
     def set_remote(self, usage_by_account):
-        """Take in what the other gateways were asked and began, by account."""
+        """Replace the usage at the other gateways, by account digest."""
         self._remote = usage_by_account
 
     def get_share_status(self, account, cost, now, tokens_per_second=0.0):
-        """Return the `ShareStatus` of an account that asks for ``cost`` tokens.
+        """Return the `ShareStatus` of an account for a request of ``cost`` tokens.
 
-        ``tokens_per_second`` is what upstreams are declared to make.
+        ``tokens_per_second`` is the declared rate of the upstreams.
         """
         with self._lock:
             self._refresh(now, tokens_per_second)
@@ -108,7 +110,7 @@
         return ShareStatus(compute_share_factor(share, cost), share)
 
     def get_level(self):
-        """Return the level last reckoned, infinity where there is none."""
+        """Return the share level last computed, infinity if all demand is met."""
         return self._level
 
     def _get_account_share(self, digest):
@@ -140,25 +142,25 @@
 
 
 def compute_pass_rate(share, cost, crowding):
-    """Return the part of an account's tries that may go on to the engines.
+    """Return the probability that an attempt of an account passes on to placement.
 
     Parameters
     ----------
     view : ShareView
     cost : float
-        Tokens of the request at hand. One more than the share allows may always be
-        tried, or nothing would begin where nothing has and nothing is declared.
+        Tokens of the request. One request more than the share allows may always be
+        attempted; otherwise none could begin if none has and no rate is declared.
     crowding : float
-        From 0 where nothing waits at the engine to 1 where much does.
+        From 0 if nothing is queued at the engine to 1 if much is.
     """
     if share.level is None or share.asked <= 0:
         return 1.0
     headroom = (
         _MAX_HEADROOM_FACTOR + (_MIN_HEADROOM_FACTOR - _MAX_HEADROOM_FACTOR) * crowding
     )
-    # After an outage nothing was begun, and by the level alone a usual load would be
-    # thinned for 2 s on idle engines; by what is declared all of it passes.
-    # It may be infinite, which times nothing is no number.
+    # After an outage no tokens were begun, and by the share level alone a usual load
+    # would be reduced for 2 s at idle engines. By the declared level all of it passes.
+    # The declared level may be infinite, and zero times infinity is NaN.
     level = share.level
     if crowding < 1.0:
         level = max(level, (1.0 - crowding) * share.declared_level)
@@ -169,10 +171,10 @@
 
 
 def compute_share_factor(share, cost):
-    """Return the factor of the wait limit of an account that asks for ``cost``."""
+    """Return the wait-limit factor of an account for a request of ``cost`` tokens."""
     if share.level is None:
         return 1.0
-    # The level is 0 where nothing was asked for within the window.
+    # The level is 0 if no tokens were begun within the window.
     used_ratio = share.begun / share.level if share.begun else 0.0
     if used_ratio > 1.0:
         return max(_MIN_FACTOR, 1.0 - _EXCESS_SLOPE_FACTOR * (used_ratio - 1.0))
@@ -198,9 +200,9 @@
 
 
 def describe_standing(status, oldest_report_age=None):
-    """Return a `ShareStatus` for the log; tokens of the window, ages in milliseconds.
+    """Return the log fields of a `ShareStatus`; tokens of the window, ages in ms.
 
-    ``oldest_report_age`` is the age in seconds of the oldest report counted in.
+    ``oldest_report_age`` is the age in seconds of the oldest report in the sums.
     """
     share = status.share
     fields = {
