--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
@@ -87,15 +87,15 @@
             self._disconnects.popleft()
         if level is Level.SEVERE:
             self._last_overload_at = now
-        crowded = (
+        triggered = (
             len(self._disconnects) >= _OVERLOAD_DISCONNECT_COUNT
             or level is Level.SEVERE
         )
-        quiet = (
+        recovered = (
             self._last_overload_at is None
             or now - self._last_overload_at > _DISCONNECT_WINDOW_S
         )
-        overloaded = crowded or self.is_out and not quiet
+        overloaded = triggered or self.is_out and not recovered
         if overloaded != self.is_out:
             self.is_out = overloaded
             self._log.note(
