--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/intake.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/intake.py
@@ -1,6 +1,6 @@
 """Bounds how many new requests one iteration of the event loop admits.
 
-The admission decision is the most expensive step of a gateway. After a burst, the
+The admission decision is the longest step in the work of a gateway. After a burst, the
 remaining requests wait for later iterations, so that active streams, reports and the
 load balancer's readiness checks are not queued behind the whole burst.
 """
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
@@ -8,7 +8,7 @@
 # a long prompt.
 _MAX_WAIT_RATIO = 0.65
 _MAX_QUEUE_RATIO = 0.2
-# An engine is crowded if the queue takes this part of the latency target.
+# An engine is fully crowded if its queue takes this part of the latency target.
 _CROWDED_QUEUE_RATIO = 0.4
 _MIN_RETRY_AFTER_S = 0.3
 _MIN_CALL_RETRY_AFTER_S = 0.1
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
@@ -12,7 +12,7 @@
 # collection is not a queue.
 _MAX_SAMPLE_S = 0.24
 # A request takes about five iterations of the event loop to reach its upstream. At the
-# severe limit these take half a second, which is most of its latency target.
+# severe limit these take half a second, most of the request's latency target.
 _HIGH_LAG_S = 0.05
 _SEVERE_LAG_S = 0.1
 # A level ends when the lag falls below this part of the level's limit.
@@ -82,7 +82,7 @@
         self._last_overload_at = now
 
     def check(self, level, now):
-        """Apply the current `Level`; return whether to accept no new clients."""
+        """Apply the current `Level`; return whether to refuse new clients."""
         while self._disconnects and now - self._disconnects[0] > _DISCONNECT_WINDOW_S:
             self._disconnects.popleft()
         if level is Level.SEVERE:
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
@@ -23,8 +23,8 @@
 _EXCESS_SLOPE_FACTOR = 3.0
 _LOW_USE_RATIO = 0.5
 # An account is starved if it has begun less than this part of its entitlement. Its
-# factor then grows by up to the extra factor, which a shortfall of this many of its
-# requests gives in full: a late answer is better than none.
+# shortfall raises its factor, by the whole extra factor if it amounts to this many of
+# its requests: a late answer is better than none.
 _STARVED_RATIO = 0.8
 _STARVED_REQUEST_COUNT = 2
 _STARVED_EXTRA_FACTOR = 1.5
@@ -146,7 +146,7 @@
 
     Parameters
     ----------
-    view : ShareView
+    share : AccountShare
     cost : float
         Tokens of the request. One request more than the share allows may always be
         attempted; otherwise none could begin if none has and no rate is declared.
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/usage.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/usage.py
@@ -42,7 +42,7 @@
                 table[account] = (old_asked + asked, old_begun + begun)
 
     def get_amounts(self, now):
-        """Return {account: Amount} within the window."""
+        """Return {account: TokenUsage} within the window."""
         with self._lock:
             self._expire(now)
             return {
