--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
@@ -1,81 +1,87 @@
-"""Whether a model request goes out now or is told when to come back."""
+"""Decides whether a request is sent now or refused with a time to retry."""
 
 from ..refusals import Refusal, limit_retry
 from .pressure import Level, get_intake_level
 from .shares import UNLIMITED, compute_pass_rate, describe_standing
 
-# Parts of the latency target: for the whole wait, and for what is ahead of a long
-# prompt.
-_TARGET_RATIO = 0.65
-_AHEAD_RATIO = 0.2
-# Share of the latency target that work ahead takes at an engine that is crowded.
-_CROWDED_RATIO = 0.4
-# Times to come back, in seconds.
-_MIN_RETRY = 0.3
-_MIN_CALL_RETRY = 0.1
-_ELSEWHERE_RETRY = 0.02
-# For a try beyond its account's share; shares are of a window four times as long.
-_BEYOND_RETRY = 1.0
-# A client that has spent more than this part of its time has come back.
-_RETURNED_RATIO = 0.03
+# Parts of the latency target: limit of the whole wait, and limit of the queue ahead of
+# a long prompt.
+_MAX_WAIT_RATIO = 0.65
+_MAX_QUEUE_RATIO = 0.2
+# An engine is fully crowded if its queue takes this part of the latency target.
+_CROWDED_QUEUE_RATIO = 0.4
+_MIN_RETRY_AFTER_S = 0.3
+_MIN_CALL_RETRY_AFTER_S = 0.1
+_OVERLOAD_RETRY_AFTER_S = 0.02
+# Shares are of a window four times as long.
+_BEYOND_SHARE_RETRY_AFTER_S = 1.0
+# A client that has spent more than this part of its time is on a retry.
+_RETRY_SPENT_RATIO = 0.03
 # Retries queue behind first attempts; the bound keeps a retry storm from delaying both.
-_MAX_INTAKE_RATIO = 0.25
-# Its wait limit against the usual; near the greatest that a share gives.
-_RETURNED_FACTOR = 1.3
+_MAX_RETRY_INTAKE_RATIO = 0.25
+# Wait-limit factor of retries, close to the highest that a share gives.
+_RETRY_SHARE_FACTOR = 1.3
 
 
 def decide_by_share(state, ctx, now):
-    """Return None, or the `Refusal` of a try beyond its account's share.
+    """Return the `Refusal` of an attempt beyond its account's share, or None.
 
-    Before engines are looked at: a flood costs this gateway little then, and what
-    cannot be served is told so at once. Those that pass may still be refused where
-    their engine turns out crowded; one draw serves for both.
+    This check runs before placement, so that a flood costs this gateway little and
+    attempts that cannot be served are refused at once. Attempts that pass may still be
+    refused if their engine is crowded; both checks use the same random draw.
     """
     if ctx.account is None or ctx.prompt is None:
         return None
     ctx.draw = state.rng.random()
-    return _thin(state, ctx, get_standing(state, ctx, now), 0.0, now)
+    return _check_pass_rate(state, ctx, get_share_status(state, ctx, now), 0.0, now)
 
 
 def decide(state, ctx, choice, now):
-    """Return None to send, or the `Refusal`.
+    """Return the `Refusal` of a model request with too long a wait, or None.
 
-    A request goes out while its first event is expected well within the
-    route's latency target, since half of the waits turn out longer than expected, and
-    earlier still where its account has had more than its share.
+    A request is sent while its first event is expected well within the route's latency
+    target, since half of the waits turn out longer than expected. The limit is lower
+    still if the account is beyond its share.
     """
     target = state.latency_targets.note(ctx.service, ctx.route.latency_target, now)
-    standing = get_standing(state, ctx, now)
-    ctx.standing = standing
-    crowding = min(1.0, (choice.wait - choice.alone) / (_CROWDED_RATIO * target))
-    refusal = _thin(state, ctx, standing, crowding, now)
+    status = get_share_status(state, ctx, now)
+    ctx.standing = status
+    crowding = min(1.0, (choice.wait - choice.alone) / (_CROWDED_QUEUE_RATIO * target))
+    refusal = _check_pass_rate(state, ctx, status, crowding, now)
     if refusal is not None:
         return refusal
-    allowed = target * standing.factor
-    # A prompt too long for its latency target gains nothing by coming back; it goes out
-    # where little is ahead of it.
-    limit = max(_TARGET_RATIO * allowed, choice.alone + _AHEAD_RATIO * allowed)
+    adjusted_target = target * status.share_factor
+    # A prompt too long for its latency target gains nothing from a retry, so it is sent
+    # if the queue ahead of it is short.
+    limit = max(
+        _MAX_WAIT_RATIO * adjusted_target,
+        choice.alone + _MAX_QUEUE_RATIO * adjusted_target,
+    )
     if choice.wait <= limit:
         return None
-    retry_after = limit_retry(ctx, max(_MIN_RETRY, choice.wait - limit / 2), now)
-    inputs = describe(state, choice, standing, limit, now)
+    retry_after = limit_retry(
+        ctx, max(_MIN_RETRY_AFTER_S, choice.wait - limit / 2), now
+    )
+    inputs = describe_wait_inputs(state, choice, status, limit, now)
     return Refusal(503, "engines-busy", retry_after=retry_after, inputs=inputs)
 
 
 def decide_call(state, ctx, choice, now):
-    """Return None to send a plain call, or the `Refusal`.
+    """Return the `Refusal` of a plain call with too long a wait, or None.
 
-    Where no place is free, calls wait in the upstream's own queue, and with each one
-    that will be late those behind it become late too. So it goes out to a free place,
-    or where what is left of its latency target bears the wait.
+    Without a free slot, calls wait in the upstream's own queue, and each late call also
+    delays those behind it. A call is therefore sent only to a free slot, or if the rest
+    of its latency target covers the wait.
     """
     load = state.loads.get(choice.instance.id, now)
     if load.active + load.remote_active < choice.instance.slots:
         return None
-    limit = _get_target_left(ctx, now)
+    limit = _get_remaining_target(ctx, now)
     if choice.wait <= limit:
         return None
-    retry_after = max(_MIN_CALL_RETRY, choice.wait - ctx.route.latency_target / 2)
+    retry_after = max(
+        _MIN_CALL_RETRY_AFTER_S, choice.wait - ctx.route.latency_target / 2
+    )
     retry_after = limit_retry(ctx, retry_after, now)
     inputs = {
         "upstream": choice.instance.id,
@@ -88,40 +94,40 @@
     return Refusal(503, "calls-busy", retry_after=retry_after, inputs=inputs)
 
 
-def _get_target_left(ctx, now):
-    """Return what is left of the latency target since the client's first try."""
+def _get_remaining_target(ctx, now):
+    """Return the rest of the latency target, counted from the first attempt."""
     return ctx.route.latency_target - ctx.spent - (now - ctx.arrived)
 
 
-def _thin(state, ctx, standing, crowding, now):
-    """Return None for the part of an account's tries that its share allows."""
+def _check_pass_rate(state, ctx, status, crowding, now):
+    """Return the `Refusal` of an attempt that the pass rate excludes, or None."""
     if ctx.account is None:
         return None
-    rate = compute_pass_rate(standing.view, ctx.prompt.cost, crowding)
-    if ctx.draw < rate:
+    pass_rate = compute_pass_rate(status.share, ctx.prompt.cost, crowding)
+    if ctx.draw < pass_rate:
         return None
     inputs = {
-        "pass_rate": round(rate, 4),
+        "pass_rate": round(pass_rate, 4),
         "crowding": round(crowding, 2),
-        **describe_standing(standing, get_oldest_report(state, now)),
+        **describe_standing(status, get_oldest_report_age(state, now)),
     }
-    retry_after = limit_retry(ctx, _BEYOND_RETRY, now)
+    retry_after = limit_retry(ctx, _BEYOND_SHARE_RETRY_AFTER_S, now)
     return Refusal(503, "beyond-share", retry_after=retry_after, inputs=inputs)
 
 
 def decide_by_pressure(state, ctx, now):
-    """Return None, or the `Refusal` where this gateway does not keep up.
+    """Return the `Refusal` of a request at an overloaded gateway, or None.
 
-    Who has had more than its share goes first. Another gateway may have time,
-    and a client that comes back reaches another one.
+    Accounts beyond their share are refused first. A client that retries reaches another
+    gateway, which may have capacity.
     """
     wait = state.intake.estimate_wait()
     level = max(state.get_pressure(), get_intake_level(wait, ctx.route.latency_target))
     if level is Level.NONE:
         return None
-    if is_returned(ctx) and wait <= _MAX_INTAKE_RATIO * ctx.route.latency_target:
+    if is_retry(ctx) and wait <= _MAX_RETRY_INTAKE_RATIO * ctx.route.latency_target:
         return None
-    if level is Level.HIGH and get_standing(state, ctx, now).factor >= 1.0:
+    if level is Level.HIGH and get_share_status(state, ctx, now).share_factor >= 1.0:
         return None
     inputs = {
         "lag_ms": round(state.pressure.lag * 1000),
@@ -129,17 +135,19 @@
         "intake_ms": round(wait * 1000),
         "level": level.name.lower(),
     }
-    return Refusal(503, "overloaded", retry_after=_ELSEWHERE_RETRY, inputs=inputs)
+    return Refusal(
+        503, "overloaded", retry_after=_OVERLOAD_RETRY_AFTER_S, inputs=inputs
+    )
 
 
-def get_oldest_report(state, now):
-    """Return the age in seconds of the oldest report that is counted in."""
+def get_oldest_report_age(state, now):
+    """Return the age in seconds of the oldest report in the sums."""
     peers = state.members.get_live(now)
     return max((now - peer.heard for peer in peers), default=0.0)
 
 
-def describe(state, choice, standing, limit, now):
-    """Return what decided, for the log; times in milliseconds."""
+def describe_wait_inputs(state, choice, status, limit, now):
+    """Return the inputs of the decision for the log; times in milliseconds."""
     load = state.loads.get(choice.instance.id, now)
     return {
         "upstream": choice.instance.id,
@@ -148,24 +156,26 @@
         "unread_own": load.unread,
         "unread_peers": load.remote_unread,
         "peers": len(state.members.get_live(now)),
-        **describe_standing(standing, get_oldest_report(state, now)),
+        **describe_standing(status, get_oldest_report_age(state, now)),
     }
 
 
-def get_standing(state, ctx, now):
-    """Return the `Standing` that decides on the request."""
+def get_share_status(state, ctx, now):
+    """Return the `ShareStatus` that applies to the request."""
     if ctx.account is None:
         return UNLIMITED
     cost = ctx.prompt.cost if ctx.prompt else 0
     declared = ctx.catalog.limits.tokens_per_second
-    standing = state.shares.get_standing(ctx.account.name, cost, now, declared)
-    if is_returned(ctx) and standing.factor >= 1.0:
-        # Refusing it again would make its client lose the whole request. Who has
-        # had more than its share gains no more of it by coming back.
-        return standing._replace(factor=max(standing.factor, _RETURNED_FACTOR))
-    return standing
-
-
-def is_returned(ctx):
-    """Return whether the client has tried before."""
-    return ctx.spent > _RETURNED_RATIO * (ctx.spent + ctx.allowed)
+    status = state.shares.get_share_status(ctx.account.name, cost, now, declared)
+    if is_retry(ctx) and status.share_factor >= 1.0:
+        # If a retry is refused, its client loses the whole request. An account beyond
+        # its share gains nothing from retries.
+        return status._replace(
+            share_factor=max(status.share_factor, _RETRY_SHARE_FACTOR)
+        )
+    return status
+
+
+def is_retry(ctx):
+    """Return whether the client has made an earlier attempt."""
+    return ctx.spent > _RETRY_SPENT_RATIO * (ctx.spent + ctx.allowed)
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
@@ -1,114 +1,124 @@
-"""Whether this gateway keeps up: its processor, and the requests under way.
+"""Overload detection from event-loop lag, requests in flight and intake wait.
 
-The lag of the event loop shows it: a timer is late by what is queued before it.
+A timer of the event loop fires late by the run time of the callbacks queued before it,
+so its delay shows whether the processor keeps up.
 """
 
 import collections
 from enum import IntEnum
 
-# Part of the mean that a new figure makes up.
-_MEMORY = 0.2
-# Lags in seconds. One long stop, of the host or of a collection, is no queue. A request
-# takes some five turns of the loop to its upstream: at the second limit half a second
-# and most of its latency target.
-_MAX_COUNTED = 0.24
-_HIGH = 0.05
-_SEVERE = 0.1
-# A level ends below this part of the lag that began it.
-_RELIEVED_RATIO = 0.6
-# Parts of the requests that may be under way.
-_HIGH_RATIO = 0.7
-_SEVERE_RATIO = 0.85
-# Parts of a request's latency target that it may wait to be looked at.
-_HIGH_WAIT_RATIO = 0.1
-_SEVERE_WAIT_RATIO = 0.2
-# Clients that leave before they are read, within a window in seconds.
-_LEFT_MANY = 8
-_LEFT_WINDOW = 1.0
+_EWMA_ALPHA = 0.2
+# Upper bound of one sample, since a single long stop of the host or of a garbage
+# collection is not a queue.
+_MAX_SAMPLE_S = 0.24
+# A request takes about five iterations of the event loop to reach its upstream. At the
+# severe limit these take half a second, most of the request's latency target.
+_HIGH_LAG_S = 0.05
+_SEVERE_LAG_S = 0.1
+# A level ends when the lag falls below this part of the level's limit.
+_HYSTERESIS_RATIO = 0.6
+# Parts of the maximum number of requests in flight.
+_HIGH_INFLIGHT_RATIO = 0.7
+_SEVERE_INFLIGHT_RATIO = 0.85
+# Parts of the latency target that a request waits for admission.
+_HIGH_INTAKE_WAIT_RATIO = 0.1
+_SEVERE_INTAKE_WAIT_RATIO = 0.2
+# Clients that disconnect before their requests are read, within the window.
+_OVERLOAD_DISCONNECT_COUNT = 8
+_DISCONNECT_WINDOW_S = 1.0
 
 
 class Level(IntEnum):
-    """How far behind the processor is."""
+    """How overloaded a gateway is."""
 
     NONE = 0
     HIGH = 1
     SEVERE = 2
 
 
-def get_occupancy_level(inflight, most):
-    """Return the level of a gateway that has ``inflight`` of ``most`` requests.
+def get_occupancy_level(inflight, max_inflight):
+    """Return the level of a gateway with ``inflight`` of ``max_inflight`` requests.
 
-    Some room is left for telling clients to go elsewhere at once.
+    The limits leave room to refuse further requests at once, so that their clients
+    retry at another gateway.
     """
-    if inflight > _SEVERE_RATIO * most:
+    if inflight > _SEVERE_INFLIGHT_RATIO * max_inflight:
         return Level.SEVERE
-    if inflight > _HIGH_RATIO * most:
+    if inflight > _HIGH_INFLIGHT_RATIO * max_inflight:
         return Level.HIGH
     return Level.NONE
 
 
 def get_intake_level(wait, latency_target):
-    """Return the level of a gateway at which a request waits for its turn.
+    """Return the level of a gateway where a request waits ``wait`` seconds for intake.
 
-    A client that is sent elsewhere at once has most of its latency target left there.
+    A client that is refused at once has most of its latency target left for a retry at
+    another gateway.
     """
-    if wait > _SEVERE_WAIT_RATIO * latency_target:
+    if wait > _SEVERE_INTAKE_WAIT_RATIO * latency_target:
         return Level.SEVERE
-    if wait > _HIGH_WAIT_RATIO * latency_target:
+    if wait > _HIGH_INTAKE_WAIT_RATIO * latency_target:
         return Level.HIGH
     return Level.NONE
 
 
 class Overload:
-    """Whether this gateway should get no more clients for now.
+    """Detects whether the load balancer should send this gateway no new clients.
 
-    Clients that leave before they are read show it best: what waits is then
-    longer than anybody's patience. It lasts until a while without them.
+    The best sign is clients that disconnect before their requests are read, since the
+    queue is then longer than clients are ready to wait. The state ends after a window
+    without such disconnects and without severe load.
     """
 
     def __init__(self, log):
         self._log = log
-        self._left = collections.deque()
-        self._last = None
+        self._disconnects = collections.deque()
+        self._last_overload_at = None
         self.is_out = False
 
     def note_left(self, now):
-        """Note a client that left before its request was read."""
-        self._left.append(now)
-        self._last = now
+        """Record a client that disconnected before its request was read."""
+        self._disconnects.append(now)
+        self._last_overload_at = now
 
     def check(self, level, now):
-        """Take in the `Level`; return whether to get no more clients."""
-        while self._left and now - self._left[0] > _LEFT_WINDOW:
-            self._left.popleft()
+        """Apply the current `Level`; return whether to refuse new clients."""
+        while self._disconnects and now - self._disconnects[0] > _DISCONNECT_WINDOW_S:
+            self._disconnects.popleft()
         if level is Level.SEVERE:
-            self._last = now
-        crowded = len(self._left) >= _LEFT_MANY or level is Level.SEVERE
-        quiet = self._last is None or now - self._last > _LEFT_WINDOW
-        out = crowded or self.is_out and not quiet
-        if out != self.is_out:
-            self.is_out = out
+            self._last_overload_at = now
+        triggered = (
+            len(self._disconnects) >= _OVERLOAD_DISCONNECT_COUNT
+            or level is Level.SEVERE
+        )
+        recovered = (
+            self._last_overload_at is None
+            or now - self._last_overload_at > _DISCONNECT_WINDOW_S
+        )
+        overloaded = triggered or self.is_out and not recovered
+        if overloaded != self.is_out:
+            self.is_out = overloaded
             self._log.note(
-                "clients turned away" if out else "clients taken again",
-                failed=out,
-                left_unread=len(self._left),
+                "clients turned away" if overloaded else "clients taken again",
+                failed=overloaded,
+                left_unread=len(self._disconnects),
                 level=level.name.lower(),
             )
-        return out
+        return overloaded
 
 
 class Pressure:
-    """A moving mean of how late a periodic timer of the loop is, in seconds."""
+    """Moving mean of the event-loop lag in seconds, and the level that it gives."""
 
     def __init__(self, log):
         self._log = log
         self.lag = 0.0
         self.level = Level.NONE
 
-    def note(self, late):
-        """Take in by how much a wake-up was late."""
-        late = min(_MAX_COUNTED, max(0.0, late))
-        self.lag += _MEMORY * (late - self.lag)
+    def note(self, delay):
+        """Add a sample: the delay of a periodic timer, in seconds."""
+        delay = min(_MAX_SAMPLE_S, max(0.0, delay))
+        self.lag += _EWMA_ALPHA * (delay - self.lag)
         level = self._get_level()
         if level != self.level:
             self.level = level
@@ -120,10 +130,10 @@
             )
 
     def _get_level(self):
-        """Return the level; a lower one needs a clearly smaller lag."""
-        for level, limit in ((Level.SEVERE, _SEVERE), (Level.HIGH, _HIGH)):
+        """Return the level for the lag, with hysteresis when it falls."""
+        for level, limit in ((Level.SEVERE, _SEVERE_LAG_S), (Level.HIGH, _HIGH_LAG_S)):
             if self.level >= level:
-                limit *= _RELIEVED_RATIO
+                limit *= _HYSTERESIS_RATIO
             if self.lag > limit:
                 return level
         return Level.NONE
