--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/client_deadlines.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/client_deadlines.py
@@ -11,7 +11,7 @@
 _WINDOW_S = 5.0
 
 
-class Patience:
+class ClientDeadlines:
     """The longest remaining times of recent attempts, by route and in seconds."""
 
     def __init__(self):
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/intake.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/intake.py
@@ -18,7 +18,7 @@
 _INITIAL_REQUEST_TIME_S = 0.001
 
 
-class Intake:
+class IntakeQueue:
     """Admits requests in order of arrival, a few per iteration of the event loop."""
 
     def __init__(self, clock=get_lease_time):
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/latency_targets.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/latency_targets.py
@@ -10,7 +10,7 @@
 _RETENTION_S = 5.0
 
 
-class RecentTargets:
+class RecentLatencyTargets:
     """Latency targets of the recent requests to each service, in seconds."""
 
     def __init__(self):
@@ -28,7 +28,7 @@
                 del used_at[expired]
             return min(used_at)
 
-    def get_least(self, now):
+    def get_min_target(self, now):
         """Return the shortest latency target in use at any service, or infinity."""
         with self._lock:
             rows = [
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
@@ -1,8 +1,8 @@
 """Decides whether a request is sent now or refused with a time to retry."""
 
 from ..refusals import Refusal, limit_retry
-from .pressure import Level, get_intake_level
-from .shares import UNLIMITED, compute_pass_rate, describe_standing
+from .pressure import PressureLevel, get_intake_level
+from .shares import UNLIMITED, compute_pass_rate, describe_share_status
 
 # Parts of the latency target: limit of the whole wait, and limit of the queue ahead of
 # a long prompt.
@@ -23,7 +23,7 @@
 _RETRY_SHARE_FACTOR = 1.3
 
 
-def decide_by_share(state, ctx, now):
+def check_share(state, ctx, now):
     """Return the `Refusal` of an attempt beyond its account's share, or None.
 
     This check runs before placement, so that a flood costs this gateway little and
@@ -36,7 +36,7 @@
     return _check_pass_rate(state, ctx, get_share_status(state, ctx, now), 0.0, now)
 
 
-def decide(state, ctx, choice, now):
+def check_wait(state, ctx, choice, now):
     """Return the `Refusal` of a model request with too long a wait, or None.
 
     A request is sent while its first event is expected well within the route's latency
@@ -66,7 +66,7 @@
     return Refusal(503, "engines-busy", retry_after=retry_after, inputs=inputs)
 
 
-def decide_call(state, ctx, choice, now):
+def check_call_wait(state, ctx, choice, now):
     """Return the `Refusal` of a plain call with too long a wait, or None.
 
     Without a free slot, calls wait in the upstream's own queue, and each late call also
@@ -109,13 +109,13 @@
     inputs = {
         "pass_rate": round(pass_rate, 4),
         "crowding": round(crowding, 2),
-        **describe_standing(status, get_oldest_report_age(state, now)),
+        **describe_share_status(status, get_oldest_report_age(state, now)),
     }
     retry_after = limit_retry(ctx, _BEYOND_SHARE_RETRY_AFTER_S, now)
     return Refusal(503, "beyond-share", retry_after=retry_after, inputs=inputs)
 
 
-def decide_by_pressure(state, ctx, now):
+def check_pressure(state, ctx, now):
     """Return the `Refusal` of a request at an overloaded gateway, or None.
 
     Accounts beyond their share are refused first. A client that retries reaches another
@@ -123,11 +123,14 @@
     """
     wait = state.intake.estimate_wait()
     level = max(state.get_pressure(), get_intake_level(wait, ctx.route.latency_target))
-    if level is Level.NONE:
+    if level is PressureLevel.NONE:
         return None
     if is_retry(ctx) and wait <= _MAX_RETRY_INTAKE_RATIO * ctx.route.latency_target:
         return None
-    if level is Level.HIGH and get_share_status(state, ctx, now).share_factor >= 1.0:
+    if (
+        level is PressureLevel.HIGH
+        and get_share_status(state, ctx, now).share_factor >= 1.0
+    ):
         return None
     inputs = {
         "lag_ms": round(state.pressure.lag * 1000),
@@ -156,7 +159,7 @@
         "unread_own": load.unread,
         "unread_peers": load.remote_unread,
         "peers": len(state.members.get_live(now)),
-        **describe_standing(status, get_oldest_report_age(state, now)),
+        **describe_share_status(status, get_oldest_report_age(state, now)),
     }
 
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
@@ -28,7 +28,7 @@
 _DISCONNECT_WINDOW_S = 1.0
 
 
-class Level(IntEnum):
+class PressureLevel(IntEnum):
     """How overloaded a gateway is."""
 
     NONE = 0
@@ -43,10 +43,10 @@
     retry at another gateway.
     """
     if inflight > _SEVERE_INFLIGHT_RATIO * max_inflight:
-        return Level.SEVERE
+        return PressureLevel.SEVERE
     if inflight > _HIGH_INFLIGHT_RATIO * max_inflight:
-        return Level.HIGH
-    return Level.NONE
+        return PressureLevel.HIGH
+    return PressureLevel.NONE
 
 
 def get_intake_level(wait, latency_target):
@@ -56,13 +56,13 @@
     another gateway.
     """
     if wait > _SEVERE_INTAKE_WAIT_RATIO * latency_target:
-        return Level.SEVERE
+        return PressureLevel.SEVERE
     if wait > _HIGH_INTAKE_WAIT_RATIO * latency_target:
-        return Level.HIGH
-    return Level.NONE
+        return PressureLevel.HIGH
+    return PressureLevel.NONE
 
 
-class Overload:
+class OverloadDetector:
     """Detects whether the load balancer should send this gateway no new clients.
 
     The best sign is clients that disconnect before their requests are read, since the
@@ -74,30 +74,30 @@
         self._log = log
         self._disconnects = collections.deque()
         self._last_overload_at = None
-        self.is_out = False
+        self.is_overloaded = False
 
-    def note_left(self, now):
+    def record_unread_disconnect(self, now):
         """Record a client that disconnected before its request was read."""
         self._disconnects.append(now)
         self._last_overload_at = now
 
     def check(self, level, now):
-        """Apply the current `Level`; return whether to refuse new clients."""
+        """Apply the current `PressureLevel`; return whether to refuse new clients."""
         while self._disconnects and now - self._disconnects[0] > _DISCONNECT_WINDOW_S:
             self._disconnects.popleft()
-        if level is Level.SEVERE:
+        if level is PressureLevel.SEVERE:
             self._last_overload_at = now
         triggered = (
             len(self._disconnects) >= _OVERLOAD_DISCONNECT_COUNT
-            or level is Level.SEVERE
+            or level is PressureLevel.SEVERE
         )
         recovered = (
             self._last_overload_at is None
             or now - self._last_overload_at > _DISCONNECT_WINDOW_S
         )
-        overloaded = triggered or self.is_out and not recovered
-        if overloaded != self.is_out:
-            self.is_out = overloaded
+        overloaded = triggered or self.is_overloaded and not recovered
+        if overloaded != self.is_overloaded:
+            self.is_overloaded = overloaded
             self._log.note(
                 "clients turned away" if overloaded else "clients taken again",
                 failed=overloaded,
@@ -107,13 +107,13 @@
         return overloaded
 
 
-class Pressure:
+class ProcessorPressure:
     """Moving mean of the event-loop lag in seconds, and the level that it gives."""
 
     def __init__(self, log):
         self._log = log
         self.lag = 0.0
-        self.level = Level.NONE
+        self.level = PressureLevel.NONE
 
     def note(self, delay):
         """Add a sample: the delay of a periodic timer, in seconds."""
@@ -131,9 +131,12 @@
 
     def _get_level(self):
         """Return the level for the lag, with hysteresis when it falls."""
-        for level, limit in ((Level.SEVERE, _SEVERE_LAG_S), (Level.HIGH, _HIGH_LAG_S)):
+        for level, limit in (
+            (PressureLevel.SEVERE, _SEVERE_LAG_S),
+            (PressureLevel.HIGH, _HIGH_LAG_S),
+        ):
             if self.level >= level:
                 limit *= _HYSTERESIS_RATIO
             if self.lag > limit:
                 return level
-        return Level.NONE
+        return PressureLevel.NONE
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
@@ -87,11 +87,11 @@
         self._fleet_usage = {}
         self._remote = {}
 
-    def note_asked(self, account, cost, now):
+    def count_asked_tokens(self, account, cost, now):
         """Count the tokens of a received request."""
         self._usage.add(get_digest(account), cost, 0, now)
 
-    def note_begun(self, account, cost, now):
+    def count_begun_tokens(self, account, cost, now):
         """Count the tokens of a request that was sent to an upstream."""
         self._usage.add(get_digest(account), 0, cost, now)
 
@@ -109,7 +109,7 @@
             share = self._get_account_share(get_digest(account))
         return ShareStatus(compute_share_factor(share, cost), share)
 
-    def get_level(self):
+    def get_share_level(self):
         """Return the share level last computed, infinity if all demand is met."""
         return self._level
 
@@ -128,7 +128,7 @@
         if now - self._refreshed_at < _REFRESH_INTERVAL_S:
             return
         self._refreshed_at = now
-        usage_by_account = dict(self._usage.get_amounts(now))
+        usage_by_account = dict(self._usage.get_token_usage(now))
         add_rows(usage_by_account, self._remote)
         self._fleet_usage = {
             name: TokenUsage(*row) for name, row in usage_by_account.items()
@@ -199,7 +199,7 @@
     return _MAX_FACTOR + shortfall_ratio * _STARVED_EXTRA_FACTOR
 
 
-def describe_standing(status, oldest_report_age=None):
+def describe_share_status(status, oldest_report_age=None):
     """Return the log fields of a `ShareStatus`; tokens of the window, ages in ms.
 
     ``oldest_report_age`` is the age in seconds of the oldest report in the sums.
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/usage.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/usage.py
@@ -41,7 +41,7 @@
                 old_asked, old_begun = table.get(account, (0, 0))
                 table[account] = (old_asked + asked, old_begun + begun)
 
-    def get_amounts(self, now):
+    def get_token_usage(self, now):
         """Return {account: TokenUsage} within the window."""
         with self._lock:
             self._expire(now)
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
@@ -37,7 +37,7 @@
     own = Totals()
     own.add(
         {get_digest(name): row for name, row in loads.items()},
-        state.usage.get_amounts(now),
+        state.usage.get_token_usage(now),
         1,
     )
     return own
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -103,7 +103,7 @@
     state.retries.record_request(ctx.service, now)
     if ctx.account is not None and ctx.prompt is not None:
         name, cost = ctx.account.name, ctx.prompt.cost
-        state.shares.note_begun(name, cost, now)
+        state.shares.count_begun_tokens(name, cost, now)
         state.metrics.account_tokens.labels(name, "begun").inc(cost)
 
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
@@ -42,7 +42,7 @@
     """Return the coroutine function that handles requests of clients."""
 
     async def handle(request, reply):
-        if state.stopping or state.overload.is_out:
+        if state.stopping or state.overload.is_overloaded:
             # An open connection stays with this gateway. A new one goes to another, as
             # the balancer sends none here now.
             reply.close()
@@ -85,10 +85,10 @@
     _record_demand(state, ctx)
     # The share is checked first: an account over its share that is sent to another
     # gateway would only flood that one.
-    refusal = admission.decide_by_share(state, ctx, ctx.arrived)
+    refusal = admission.check_share(state, ctx, ctx.arrived)
     if refusal is not None:
         return refusal
-    refusal = admission.decide_by_pressure(state, ctx, ctx.arrived)
+    refusal = admission.check_pressure(state, ctx, ctx.arrived)
     if refusal is not None:
         # The client's next request may go to another gateway as well.
         ctx.reply.close()
@@ -97,7 +97,7 @@
     if ctx.reply.is_gone:
         # The client disconnected while the request waited for admission, so the work on
         # it would be wasted.
-        state.overload.note_left(state.clock())
+        state.overload.record_unread_disconnect(state.clock())
         return Refusal(499, "client-gone-unread")
     return None
 
@@ -174,8 +174,8 @@
         return candidates
     choice = _choose_instance(state, ctx, candidates, now)
     if ctx.sends == 0:
-        decide = admission.decide if ctx.prompt else admission.decide_call
-        refusal = decide(state, ctx, choice, now)
+        check_wait = admission.check_wait if ctx.prompt else admission.check_call_wait
+        refusal = check_wait(state, ctx, choice, now)
         if refusal is not None:
             return refusal
     take_permit(state, ctx, choice.instance, now)
@@ -197,5 +197,5 @@
 def _record_demand(state, ctx):
     if ctx.account is not None and ctx.prompt is not None:
         name, cost = ctx.account.name, ctx.prompt.cost
-        state.shares.note_asked(name, cost, ctx.arrived)
+        state.shares.count_asked_tokens(name, cost, ctx.arrived)
         state.metrics.account_tokens.labels(name, "asked").inc(cost)
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
@@ -1,6 +1,6 @@
 """Metrics and log lines of requests, and health observations of their upstreams."""
 
-from ..admission.shares import describe_standing
+from ..admission.shares import describe_share_status
 from ..quarantine.fingerprints import format_fingerprint
 from ..upstreams.exchanges import MISDIRECTED, Fault
 from ..view_source import describe_catalog, describe_upstream, describe_view
@@ -84,7 +84,7 @@
         out_ms=_get_out_ms(ctx),
         sends=ctx.sends,
         took_ms=to_milliseconds(now - ctx.arrived),
-        **(describe_standing(ctx.standing) if ctx.standing else {}),
+        **(describe_share_status(ctx.standing) if ctx.standing else {}),
         **ctx.view_at_send,
     )
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -217,7 +217,7 @@
             gauges.leaving.labels(source).set(sources[source])
         gauges.leaving.labels("record").set(state.directory.count_leaving())
         gauges.report_bytes.set(self._fleet.sent_bytes)
-        gauges.share_level.set(state.shares.get_level())
+        gauges.share_level.set(state.shares.get_share_level())
         if state.catalog:
             gauges.declared.set(state.catalog.limits.tokens_per_second)
         gauges.left_out.set(state.log.left_out)
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -7,12 +7,12 @@
 
 from valeweir.timers import TimerService, get_lease_time
 
-from .admission.client_deadlines import Patience
-from .admission.intake import Intake
-from .admission.latency_targets import RecentTargets
+from .admission.client_deadlines import ClientDeadlines
+from .admission.intake import IntakeQueue
+from .admission.latency_targets import RecentLatencyTargets
 from .admission.pressure import (
-    Overload,
-    Pressure,
+    OverloadDetector,
+    ProcessorPressure,
     get_intake_level,
     get_occupancy_level,
 )
@@ -76,11 +76,11 @@
         self.bad_keys = 0
         self.loads = Loads()
         self.reads = Reads()
-        self.intake = Intake(clock)
-        self.latency_targets = RecentTargets()
-        self.patience = Patience()
-        self.pressure = Pressure(log)
-        self.overload = Overload(log)
+        self.intake = IntakeQueue(clock)
+        self.latency_targets = RecentLatencyTargets()
+        self.patience = ClientDeadlines()
+        self.pressure = ProcessorPressure(log)
+        self.overload = OverloadDetector(log)
         self.stalls = Stalls(clock, log.note)
         self.domains = DomainFailures(cfg.domain)
         self.members = Members(
@@ -140,7 +140,7 @@
         return (self.catalog_offset, self.directory_offset, self.quarantine_offset)
 
     def get_pressure(self):
-        """Return the `pressure.Level` of this gateway."""
+        """Return the `pressure.PressureLevel` of this gateway."""
         occupancy = get_occupancy_level(self._inflight, self.cfg.most_inflight)
         return max(self.pressure.level, occupancy)
 
@@ -150,7 +150,7 @@
             return False
         now = self.clock()
         wait = self.intake.estimate_wait()
-        level = get_intake_level(wait, self.latency_targets.get_least(now))
+        level = get_intake_level(wait, self.latency_targets.get_min_target(now))
         return not self.overload.check(max(level, self.get_pressure()), now)
 
     def note_store_heard(self, topic, as_of):
--- a/packages/valeweir_standins/src/valeweir_standins/reporting.py
+++ b/packages/valeweir_standins/src/valeweir_standins/reporting.py
@@ -56,7 +56,9 @@
     for state in wire.states.values():
         work = state.loads.start(rng.choice(names), _TOKENS, wire.now)
         state.loads.note_progress(work, wire.now + rng.uniform(0.0, TICK))
-        state.shares.note_asked(f"account-{rng.randrange(accounts)}", 10, wire.now)
+        state.shares.count_asked_tokens(
+            f"account-{rng.randrange(accounts)}", 10, wire.now
+        )
 
 
 def _sum_up(wire, seconds, spent):
