--- a/packages/valeweir_router/src/valeweir_router/admin.py
+++ b/packages/valeweir_router/src/valeweir_router/admin.py
@@ -5,7 +5,7 @@
 from valeweir_operators.api import Api
 from valeweir_operators.api import handle as handle_api
 
-from .views import get_fleet_view, get_resource_status
+from .views import get_fleet_status, get_resource_status
 
 
 def create_admin_handler(state, submit):
@@ -15,7 +15,7 @@
         lock=state.lock,
         submit=submit,
         get_status=lambda res: get_resource_status(state, res),
-        get_fleet=lambda: get_fleet_view(state),
+        get_fleet=lambda: get_fleet_status(state),
         root_hash=state.cfg["admin"].get("operator_key_sha256", ""),
     )
 
--- a/packages/valeweir_router/src/valeweir_router/claims.py
+++ b/packages/valeweir_router/src/valeweir_router/claims.py
@@ -18,31 +18,31 @@
 )
 from valeweir_sharing.idempotency_keys import ClaimAnswer, evaluate_claim, get_holders
 
-_PATIENCE_FOR_MAJORITY = 0.25
-_PATIENCE = 1.0
-_KEY_BYTES = 10
-_NUMBER_BYTES = 7
-_ALONE_AFTER = 3.0
+_MAJORITY_TIMEOUT_S = 0.25
+_ALL_HOLDERS_TIMEOUT_S = 1.0
+_KEY_DIGEST_BYTES = 10
+_REQUEST_NUMBER_BYTES = 7
+_NO_PEERS_TIMEOUT_S = 3.0
 
 
-class Claim:
+class PendingClaim:
     """A claim under way: who was asked, and who has answered what."""
 
     def __init__(self, holders):
         self.holders = holders
-        self.asked = set()
+        self.asked_hosts = set()
         self.answers = {}
-        self.settled = threading.Event()
+        self.decided = threading.Event()
 
-    def note(self, host, answer):
+    def add_answer(self, host, answer):
         """Take in a holder's answer."""
-        if host in self.asked:
+        if host in self.asked_hosts:
             self.answers[host] = answer
-        everyone = len(self.answers) == len(self.asked)
-        if everyone or self.judge() is not None:
-            self.settled.set()
+        all_answered = len(self.answers) == len(self.asked_hosts)
+        if all_answered or self.evaluate() is not None:
+            self.decided.set()
 
-    def judge(self):
+    def evaluate(self):
         """Return whether the call may be sent; None where that is open."""
         return evaluate_claim(self.answers, len(self.holders))
 
@@ -50,40 +50,42 @@
 def make_key(account, pool, text):
     """Return the fleet-wide digest of a caller's key."""
     data = f"{account}\0{pool}\0{text}".encode()
-    return hashlib.blake2b(data, digest_size=_KEY_BYTES).digest()
+    return hashlib.blake2b(data, digest_size=_KEY_DIGEST_BYTES).digest()
 
 
-def make_number(request_id):
+def make_request_number(request_id):
     """Return the number that stands for a request in claims."""
-    digest = hashlib.blake2b(request_id.encode(), digest_size=_NUMBER_BYTES).digest()
+    digest = hashlib.blake2b(
+        request_id.encode(), digest_size=_REQUEST_NUMBER_BYTES
+    ).digest()
     return int.from_bytes(digest, "big")
 
 
-def claim(state, key, request):
+def claim_key(state, key, request):
     """Claim a key for a request; return None, or the `Refusal` to answer.
 
     A majority of the holders is asked first, the rest only if that does not
     settle it: any two majorities share a holder, whichever they are.
     """
     with state.lock:
-        entry = Claim(_rank_holders(state, key))
-        state.claims[(key, request)] = entry
-        majority = len(entry.holders) // 2 + 1
-        _ask(state, entry, entry.holders[:majority], key, request)
-    entry.settled.wait(_PATIENCE_FOR_MAJORITY)
+        pending = PendingClaim(_rank_holders(state, key))
+        state.key_claims[(key, request)] = pending
+        majority = len(pending.holders) // 2 + 1
+        _send_claim(state, pending, pending.holders[:majority], key, request)
+    pending.decided.wait(_MAJORITY_TIMEOUT_S)
     with state.lock:
-        if entry.judge() is None:
-            entry.settled.clear()
-            _ask(state, entry, entry.holders[majority:], key, request)
-    if entry.judge() is None:
-        entry.settled.wait(_PATIENCE)
+        if pending.evaluate() is None:
+            pending.decided.clear()
+            _send_claim(state, pending, pending.holders[majority:], key, request)
+    if pending.evaluate() is None:
+        pending.decided.wait(_ALL_HOLDERS_TIMEOUT_S)
     with state.lock:
-        state.claims.pop((key, request), None)
-        verdict = entry.judge()
-    if verdict:
+        state.key_claims.pop((key, request), None)
+        may_send = pending.evaluate()
+    if may_send:
         return None
-    release(state, key, request)
-    if verdict is False:
+    release_key(state, key, request)
+    if may_send is False:
         return Refusal(
             409,
             "key-already-sent",
@@ -101,7 +103,7 @@
     )
 
 
-def release(state, key, request):
+def release_key(state, key, request):
     """Give a key back whose call was certainly not run."""
     with state.lock:
         for host in get_holders(key, _get_members(state)):
@@ -126,11 +128,11 @@
 
 def handle_answer(state, peer, message):
     """Take in a holder's answer to a claim of ours."""
-    entry = state.claims.get((message.key, message.request))
-    if entry is None:
+    pending = state.key_claims.get((message.key, message.request))
+    if pending is None:
         return
     try:
-        entry.note(peer.host, ClaimAnswer(message.answer))
+        pending.add_answer(peer.host, ClaimAnswer(message.answer))
     except ValueError:
         metrics.control_dropped.labels("malformed").inc()
 
@@ -149,10 +151,10 @@
 def handle_rows(state, peer, message):
     """Take in what another holder has recorded."""
     state.keys.merge(message.rows, state.clock())
-    state.keys_learned.add(peer.host)
+    state.key_row_sources.add(peer.host)
 
 
-def learn(state):
+def update_keys(state):
     """Once an interval: expire claims, and learn the others' after a start."""
     state.keys.expire(state.clock())
     if state.keys.complete:
@@ -160,16 +162,16 @@
     missing = [
         peer.host
         for peer in state.peers.get_live()
-        if peer.host not in state.keys_learned
+        if peer.host not in state.key_row_sources
     ]
     for host in missing:
         _send(state, host, KeyQuery)
     # A router that hears nobody for a while has nobody to learn from.
-    patience = _ALONE_AFTER if _get_members(state) != {state.host} else 0.0
-    alone = state.clock() - state.started > patience
-    if not missing and (state.keys_learned or alone):
+    timeout_s = _NO_PEERS_TIMEOUT_S if _get_members(state) != {state.host} else 0.0
+    timed_out = state.clock() - state.started_at > timeout_s
+    if not missing and (state.key_row_sources or timed_out):
         state.keys.complete = True
-        logger.bind(learned_from=len(state.keys_learned)).info("keys known")
+        logger.bind(learned_from=len(state.key_row_sources)).info("keys known")
 
 
 def _rank_holders(state, key):
@@ -179,11 +181,11 @@
     return sorted(holders, key=lambda h: (h != state.host, h not in live, h))
 
 
-def _ask(state, entry, hosts, key, request):
-    entry.asked.update(hosts)
+def _send_claim(state, pending, hosts, key, request):
+    pending.asked_hosts.update(hosts)
     for host in hosts:
         if host == state.host:
-            entry.note(host, state.keys.claim(key, request, state.clock()))
+            pending.add_answer(host, state.keys.claim(key, request, state.clock()))
         else:
             _send(state, host, KeyClaim, key=key, request=request)
 
@@ -193,8 +195,8 @@
     return {state.host, *state.peers.members}
 
 
-def _send(state, host, kind, **fields):
+def _send(state, host, message_type, **fields):
     address = state.peers.find_address(host)
     if address:
-        message = kind(source=state.source, seq=state.next_seq(), **fields)
+        message = message_type(source=state.source, seq=state.next_seq(), **fields)
         state.links.send(address, message)
--- a/packages/valeweir_router/src/valeweir_router/dispatching.py
+++ b/packages/valeweir_router/src/valeweir_router/dispatching.py
@@ -18,12 +18,14 @@
         candidates = get_candidates(state, pool, now)
         if not candidates:
             return
-        ticket = choose_ticket(queue, state.ledger, pool, now, state.order)
-        open_to = [c for c in candidates if c.upstream not in ticket.excluded]
-        choice = choose_upstream(open_to or candidates, ticket.prefix, state.hints, now)
+        ticket = choose_ticket(queue, state.ledger, pool, now, state.queue_order)
+        eligible = [c for c in candidates if c.upstream not in ticket.excluded]
+        choice = choose_upstream(
+            eligible or candidates, ticket.prefix, state.hints, now
+        )
         if not state.holder.take(choice.upstream, now):
             return
-        note_idle(state, choice.upstream)
+        record_free_slots(state, choice.upstream)
         _start(state, queue, ticket, choice, now)
 
 
@@ -56,17 +58,19 @@
         dispatch(state, pool)
 
 
-def note_idle(state, upstream):
+def record_free_slots(state, upstream):
     """Remember the fewest free slots seen since the last digest."""
     held = state.holder.held[upstream]
-    state.idle_low[upstream] = min(state.idle_low.get(upstream, 0), held.free)
+    state.min_free_slots[upstream] = min(
+        state.min_free_slots.get(upstream, 0), held.free
+    )
 
 
-def note_served(state, pool, account):
+def deduct_announced(state, pool, account):
     """Note that one request which the owners knew of waits no more."""
-    told = state.told.get(pool)
-    if told and told.get(account):
-        told[account] -= 1
+    announced = state.announced_waiting.get(pool)
+    if announced and announced.get(account):
+        announced[account] -= 1
 
 
 def _start(state, queue, ticket, choice, now):
@@ -74,9 +78,9 @@
     cost = state.estimates.get(ticket.pool, ticket.account, ticket.work_class)
     ticket.charge = cost / ticket.weight
     ticket.settled = 0.0
-    ticket.dispatched = now
+    ticket.dispatched_at = now
     state.ledger.add_waiting(ticket.key, -1)
-    note_served(state, ticket.pool, ticket.account)
+    deduct_announced(state, ticket.pool, ticket.account)
     state.ledger.charge(ticket.key, ticket.charge)
     state.ledger.add_pending_at_peers(ticket.key, ticket.charge)
     state.health.record_dispatch(choice.upstream)
@@ -92,4 +96,4 @@
         why=choice.reason,
         waited=round(waited, 4),
     ).info("routed")
-    ticket.gate.release()
+    ticket.slot_signal.release()
--- a/packages/valeweir_router/src/valeweir_router/endings.py
+++ b/packages/valeweir_router/src/valeweir_router/endings.py
@@ -7,25 +7,25 @@
 from valeweir_upstreams.exchanges import Fault
 
 MAX_ATTEMPTS = 4
-_UNSENT = (Fault.NOT_SENT, Fault.LAPSED)
-_CALLERS_DOING = (Fault.GONE, Fault.LATE)
+_NOT_SENT_FAULTS = (Fault.NOT_SENT, Fault.LAPSED)
+_CALLER_FAULTS = (Fault.GONE, Fault.LATE)
 
 
-def may_retry(state, served, failure, attempt):
+def may_retry(state, admitted, failure, attempt):
     """Return whether the request goes out once more, and take its repeat."""
-    if served.reply.started or attempt >= MAX_ATTEMPTS:
+    if admitted.reply.started or attempt >= MAX_ATTEMPTS:
         return False
-    if failure.fault in _CALLERS_DOING:
+    if failure.fault in _CALLER_FAULTS:
         return False
-    if failure.fault not in _UNSENT and not served.repeatable:
+    if failure.fault not in _NOT_SENT_FAULTS and not admitted.repeatable:
         return False
     with state.lock:
-        return state.retries.spend(served.ticket.account)
+        return state.retry_budget.spend(admitted.ticket.account)
 
 
-def explain(served, failure):
+def make_refusal(admitted, failure):
     """Return the `Refusal` that tells the caller what became of its request."""
-    not_run = failure.fault in _UNSENT
+    not_run = failure.fault in _NOT_SENT_FAULTS
     if not_run:
         return Refusal(
             502,
@@ -35,7 +35,7 @@
             retry_after=2,
         )
     status = 504 if failure.fault is Fault.LATE else 502
-    advice = "send it again" if served.repeatable else "ask the service what it did"
+    advice = "send it again" if admitted.repeatable else "ask the service what it did"
     return Refusal(
         status,
         f"upstream-{failure.fault.value}",
@@ -45,25 +45,25 @@
     )
 
 
-def end(served, refusal):
+def refuse(admitted, refusal):
     """Answer a request that was not served, unless its answer has begun."""
-    pool = served.ticket.pool
-    note_end(pool, refusal.outcome, refusal.code)
+    pool = admitted.ticket.pool
+    count_outcome(pool, refusal.outcome, refusal.code)
     logger.bind(
-        request=served.ticket.id,
-        account=served.ticket.account,
+        request=admitted.ticket.id,
+        account=admitted.ticket.account,
         outcome=refusal.outcome.value,
         code=refusal.code,
     ).info("not served")
-    if served.reply.started:
+    if admitted.reply.started:
         return
     try:
-        send_refusal(served.reply, refusal, served.ticket.id)
+        send_refusal(admitted.reply, refusal, admitted.ticket.id)
     except OSError:
-        served.reply.close()
+        admitted.reply.close()
 
 
-def note_end(pool, outcome, code):
+def count_outcome(pool, outcome, code):
     """Count how a request ended."""
     metrics.requests.labels(pool, outcome.value).inc()
     if code:
--- a/packages/valeweir_router/src/valeweir_router/entering.py
+++ b/packages/valeweir_router/src/valeweir_router/entering.py
@@ -9,7 +9,7 @@
 _SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS"))
 
 
-class Served:
+class AdmittedRequest:
     """What a session needs to know of one request."""
 
     __slots__ = ("demand", "repeatable", "reply", "request", "ticket")
@@ -28,7 +28,7 @@
         account = state.accounts_by_hash.get(get_bearer(request.headers))
         ready = state.config_known
     if not ready:
-        return _refuse_unready()
+        return _make_not_ready_refusal()
     if account is None:
         return Refusal(
             401,
@@ -43,26 +43,26 @@
     if isinstance(demand, Refusal):
         return demand
     with state.lock:
-        return _enter(state, request, reply, request_id, account, demand)
+        return _admit_demand(state, request, reply, request_id, account, demand)
 
 
-def _enter(state, request, reply, request_id, account, demand):
+def _admit_demand(state, request, reply, request_id, account, demand):
     pool = _find_pool(state, demand)
     if isinstance(pool, Refusal):
         return pool
     if state.refusing:
-        return _refuse_unready()
-    part = state.get_part(account)
+        return _make_not_ready_refusal()
+    weight_ratio = state.get_weight_ratio(account)
     size = len(request.body)
-    excess = find_exceeded_limit(
-        state.limits, state.occupancy, account, part, demand.work_class, size
+    exceeded_limit = find_exceeded_limit(
+        state.limits, state.occupancy, account, weight_ratio, demand.work_class, size
     )
-    if excess is not None:
+    if exceeded_limit is not None:
         waiting = state.occupancy.get(account)[0]
         return Refusal(
             429,
-            excess,
-            f"the limit {excess} is reached for {account}",
+            exceeded_limit,
+            f"the limit {exceeded_limit} is reached for {account}",
             "come back after the time in Retry-After",
             retry_after=get_retry_after(waiting, 1.0, state.rng),
         )
@@ -78,9 +78,9 @@
     )
     state.inflight += 1
     state.occupancy.add(account, size)
-    state.retries.earn(account)
+    state.retry_budget.earn(account)
     repeatable = _is_repeatable(state, pool, demand, request.method)
-    return Served(request, reply, demand, ticket, repeatable)
+    return AdmittedRequest(request, reply, demand, ticket, repeatable)
 
 
 def _find_pool(state, demand):
@@ -108,7 +108,7 @@
     return all(method in up.repeatable for up in ups)
 
 
-def _refuse_unready():
+def _make_not_ready_refusal():
     return Refusal(
         503,
         "not-ready",
--- a/packages/valeweir_router/src/valeweir_router/exchanging.py
+++ b/packages/valeweir_router/src/valeweir_router/exchanging.py
@@ -17,34 +17,34 @@
 
 from . import scheduler
 
-_SETTLE_EVERY = 32
-_MAX_ANSWER = 64 << 20
-_BUSY = frozenset((502, 503, 504))
-_BLAMELESS = (Fault.GONE, Fault.LATE, Fault.LAPSED)
+_SETTLE_EVENT_COUNT = 32
+_MAX_RESPONSE_BYTES = 64 << 20
+_RETRIED_STATUSES = frozenset((502, 503, 504))
+_NEUTRAL_FAULTS = (Fault.GONE, Fault.LATE, Fault.LAPSED)
 
 
-class Progress:
+class CostProgress:
     """Cost of a model call as its answer comes in."""
 
-    def __init__(self, state, served):
+    def __init__(self, state, admitted):
         sharing = state.cfg["sharing"]
         self._prompt_weight = sharing["prompt_weight"]
         self._output_weight = sharing["output_weight"]
         self._state = state
-        self._ticket = served.ticket
+        self._ticket = admitted.ticket
         self._unsettled = 0
         self.cost = 0.0
 
-    def note_events(self, count):
+    def count_events(self, count):
         """Count streamed events, one token each until usage tells better."""
         self.cost += count * self._output_weight
         self._unsettled += count
-        if self._unsettled >= _SETTLE_EVERY:
+        if self._unsettled >= _SETTLE_EVENT_COUNT:
             self._unsettled = 0
             with self._state.lock:
-                scheduler.note_progress(self._state, self._ticket, self.cost)
+                scheduler.settle_progress(self._state, self._ticket, self.cost)
 
-    def note_usage(self, usage):
+    def set_usage(self, usage):
         """Take the engine's own count of tokens."""
         if usage is not None:
             self.cost = (
@@ -53,72 +53,72 @@
             )
 
 
-def exchange_once(state, connections, served, progress):
+def exchange_once(state, connections, admitted, progress):
     """Send the request and pass its answer on; return None or a `Failure`."""
-    ticket = served.ticket
+    ticket = admitted.ticket
     if not _is_lease_valid(state, ticket):
         return Failure(Fault.LAPSED, "the lease lapsed before sending")
     address = ticket.placement.address
-    exchange = open_exchange(connections, address, fresh=not served.repeatable)
+    exchange = open_exchange(connections, address, fresh=not admitted.repeatable)
     if isinstance(exchange, Failure):
         return exchange
     if not _is_lease_valid(state, ticket):
         exchange.close()
         return Failure(Fault.LAPSED, "the lease lapsed before sending")
-    call = _prepare_call(state, served)
-    failure = exchange.send(call) or exchange.wait(call, served.reply.is_gone)
+    call = _prepare_call(state, admitted)
+    failure = exchange.send(call) or exchange.wait(call, admitted.reply.is_gone)
     if failure is not None:
         return failure
     head = exchange.read_head(call)
     if isinstance(head, Failure):
         return head
-    if head.status in _BUSY and served.repeatable:
+    if head.status in _RETRIED_STATUSES and admitted.repeatable:
         exchange.close()
         return Failure(Fault.AMBIGUOUS, f"upstream answered {head.status}")
     if head.is_stream:
-        return _forward_stream(served, exchange, head, progress)
-    return _forward_whole(served, exchange, head, progress)
+        return _forward_stream(admitted, exchange, head, progress)
+    return _forward_unary(admitted, exchange, head, progress)
 
 
-def _forward_whole(served, exchange, head, progress):
-    body = exchange.read_whole(_MAX_ANSWER)
+def _forward_unary(admitted, exchange, head, progress):
+    body = exchange.read_whole(_MAX_RESPONSE_BYTES)
     if isinstance(body, Failure):
         return body
-    if served.demand.is_model:
-        progress.note_usage(get_unary_usage(body))
-    headers = _prepare_reply_headers(served, head)
+    if admitted.demand.is_model:
+        progress.set_usage(get_unary_usage(body))
+    headers = _prepare_reply_headers(admitted, head)
     headers.append((OUTCOME_HEADER, Outcome.COMPLETE.value))
     try:
-        served.reply.send(head.status, headers, body)
+        admitted.reply.send(head.status, headers, body)
     except OSError:
         # The caller left after its request was done; nothing to repeat.
-        served.reply.close()
+        admitted.reply.close()
     return None
 
 
-def _forward_stream(served, exchange, head, progress):
+def _forward_stream(admitted, exchange, head, progress):
     """Pass events on as they come; until the first, a retry is possible."""
     meter = StreamMeter()
-    reply = served.reply
+    reply = admitted.reply
     for part in exchange.read_parts():
         if isinstance(part, Failure):
-            return _break_stream(reply, part)
-        new = meter.feed(part)
+            return _abort_stream(reply, part)
+        event_count = meter.feed(part)
         try:
             if not reply.started:
-                reply.start_stream(head.status, _prepare_reply_headers(served, head))
+                reply.start_stream(head.status, _prepare_reply_headers(admitted, head))
             reply.write(part)
         except OSError:
             exchange.close()
             return Failure(Fault.GONE, "caller hung up")
-        progress.note_events(new)
+        progress.count_events(event_count)
     if not meter.ended:
-        return _break_stream(reply, Failure(Fault.CUT, "stream without end mark"))
-    progress.note_usage(meter.usage)
+        return _abort_stream(reply, Failure(Fault.CUT, "stream without end mark"))
+    progress.set_usage(meter.usage)
     return None
 
 
-def _break_stream(reply, failure):
+def _abort_stream(reply, failure):
     if reply.started:
         reply.cut()
     return failure
@@ -129,38 +129,43 @@
         return state.holder.is_valid(ticket.placement.upstream, state.clock())
 
 
-def _prepare_call(state, served):
-    ticket = served.ticket
-    request = served.request
+def _prepare_call(state, admitted):
+    ticket = admitted.ticket
+    request = admitted.request
     priority = CLASS_PRIORITY[ticket.work_class]
-    left = max(0.05, ticket.deadline - state.clock())
+    timeout_s = max(0.05, ticket.deadline - state.clock())
     return Call(
         ticket.id,
         request.method,
-        served.demand.target,
+        admitted.demand.target,
         prepare_headers(request.headers, ticket.id, priority),
         request.body,
-        time.monotonic() + left,
+        time.monotonic() + timeout_s,
     )
 
 
-def _prepare_reply_headers(served, head: Head):
-    own = (REQUEST_ID_HEADER.lower(), OUTCOME_HEADER.lower(), "server", "date")
-    headers = [(n, v) for n, v in head.headers if n.lower() not in own]
-    headers.append((REQUEST_ID_HEADER, served.ticket.id))
+def _prepare_reply_headers(admitted, head: Head):
+    replaced_names = (
+        REQUEST_ID_HEADER.lower(),
+        OUTCOME_HEADER.lower(),
+        "server",
+        "date",
+    )
+    headers = [(n, v) for n, v in head.headers if n.lower() not in replaced_names]
+    headers.append((REQUEST_ID_HEADER, admitted.ticket.id))
     return headers
 
 
-def note_health(state, upstream, failure, served):
+def record_health(state, upstream, failure, admitted):
     """Take in what an exchange tells about its upstream."""
     if failure is None:
         if state.health.note_success(upstream):
             metrics.ejected.labels(upstream).set(0)
             logger.bind(upstream=upstream).info("upstream back")
-        if served.ticket.prefix:
-            state.hints.note(served.ticket.prefix, upstream, state.clock())
+        if admitted.ticket.prefix:
+            state.hints.note(admitted.ticket.prefix, upstream, state.clock())
         return
-    if failure.fault in _BLAMELESS:
+    if failure.fault in _NEUTRAL_FAULTS:
         state.health.note_released(upstream)
         return
     pause = state.health.note_error(upstream, state.clock())
--- a/packages/valeweir_router/src/valeweir_router/gossip.py
+++ b/packages/valeweir_router/src/valeweir_router/gossip.py
@@ -29,63 +29,65 @@
 
 from . import claims, dispatching, granting, histories, holding, owning
 
-_WHOLE_EVERY = 20
+_DIGESTS_PER_WHOLE_DIGEST = 20
 
 
 def tick(state):
     """Do what is due once an interval: liveness, leases, digests."""
-    owning.note_pause(state)
+    owning.renew_epochs_after_pause(state)
     holding.drop_lapsed(state)
-    refresh_live(state)
-    holding.renew_own(state)
+    update_liveness(state)
+    holding.renew_own_leases(state)
     owning.expire_leases(state)
-    holding.give_idle(state)
+    holding.return_idle_slots(state)
     for pool in state.pools:
         state.ledger.clamp(pool, _get_clamp(state, pool))
-        granting.plan(state, pool)
+        granting.grant_slots(state, pool)
         # An upstream may have come to the end of its pause.
         dispatching.dispatch(state, pool)
-    granting.plan_idle(state)
+    granting.grant_idle_slots(state)
     state.ledger.clear_pending("predicted")
-    claims.learn(state)
-    histories.retire_silent(state)
+    claims.update_keys(state)
+    histories.update_history(state)
     send_digests(state)
 
 
-def refresh_live(state):
+def update_liveness(state):
     """Note routers that came or went, and move ownership accordingly."""
     changes = state.peers.get_changes(state.clock())
     for change in changes:
         state.ledger.set_live(change.peer.source, change.live)
-        histories.note_liveness(state, change.peer.source, change.live)
+        histories.record_liveness(state, change.peer.source, change.live)
         logger.bind(peer=change.peer.source, live=change.live).info("peer changed")
     for peer in state.peers.replaced:
         state.ledger.retire(peer.source, state.clock())
         state.silent_since.pop(peer.source, None)
-    moved = bool(changes or state.peers.replaced)
+    has_changed = bool(changes or state.peers.replaced)
     state.peers.replaced.clear()
     metrics.live_peers.set(len(state.peers.get_live()))
-    if moved:
+    if has_changed:
         owning.update_ownership(state)
 
 
 def send_digests(state):
     """Send every known router its digest."""
-    state.digests += 1
-    whole = state.digests % _WHOLE_EVERY == 1
-    changed = get_reports(state, False)
-    everything = None
+    state.digest_count += 1
+    is_whole_due = state.digest_count % _DIGESTS_PER_WHOLE_DIGEST == 1
+    changed_reports = get_reports(state, False)
+    all_reports = None
     state.ledger.dirty.clear()
-    state.told = {pool: state.ledger.get_own_waiting(pool) for pool in state.pools}
+    state.announced_waiting = {
+        pool: state.ledger.get_own_waiting(pool) for pool in state.pools
+    }
     now = state.clock()
     by_host = state.peers.by_host
     for host, address in state.peers.get_targets(state.host).items():
         peer = by_host.get(host)
-        greet = whole or peer is None or not peer.live
-        if greet and everything is None:
-            everything = get_reports(state, True)
-        rows = everything if greet else changed
-        digest = _make_digest(state, peer, rows, greet, now)
+        is_whole = is_whole_due or peer is None or not peer.live
+        if is_whole and all_reports is None:
+            all_reports = get_reports(state, True)
+        reports = all_reports if is_whole else changed_reports
+        digest = _make_digest(state, peer, reports, is_whole, now)
         state.links.send(address, digest)
 
 
@@ -129,7 +131,7 @@
     peer.leaving = digest.leaving
     peer.config_offset = digest.config_offset
     state.holder.renew_leases(peer.source, digest.echo)
-    refresh_live(state)
+    update_liveness(state)
     reports = [
         (ServiceKey(pool.pool, state.account_names[number]), Report(*figures))
         for pool in digest.pools
@@ -137,14 +139,14 @@
         if number in state.account_names
     ]
     if digest.whole:
-        state.greeted.add(peer.source)
+        state.fully_reported.add(peer.source)
     fronts = [(pool.pool, pool.front) for pool in digest.pools]
     state.ledger.merge(peer.source, digest.seq, reports, fronts)
     dispatching.merge_grants(state, peer.source, digest.grants)
     pools = owning.merge_claims(state, peer.source, digest.claims)
     for pool in pools | {pool.pool for pool in digest.pools}:
-        granting.plan(state, pool)
-    _catch_up(state, peer, digest)
+        granting.grant_slots(state, pool)
+    _request_missing_state(state, peer, digest)
 
 
 def _handle_ask(state, peer, ask):
@@ -153,18 +155,18 @@
     waiting = {names[n]: count for n, count in ask.waiting.items() if n in names}
     state.ledger.merge_waiting(peer.source, ask.pool, waiting)
     owning.merge_claims(state, peer.source, ask.claims)
-    granting.plan(state, ask.pool)
+    granting.grant_slots(state, ask.pool)
 
 
 def _handle_offer(state, peer, offer):
     peer.echo = max(peer.echo, offer.echo)
     state.holder.renew_leases(peer.source, offer.echo)
     dispatching.merge_grants(state, peer.source, offer.grants)
-    holding.answer_recall(state, offer.recall)
+    holding.handle_recall(state, offer.recall)
 
 
 def _handle_handover(state, peer, handover):
-    owning.take_over(state, handover)
+    owning.adopt_handover(state, handover)
 
 
 def _handle_view_query(state, peer, query):
@@ -220,10 +222,10 @@
 
 def apply_configuration(state):
     """Put a new configuration in force here."""
-    known = set(state.upstreams)
+    previous_names = set(state.upstreams)
     state.apply_configuration()
     owning.update_ownership(state)
-    for name in known - set(state.upstreams):
+    for name in previous_names - set(state.upstreams):
         state.holder.held.pop(name, None)
     for name, up in state.upstreams.items():
         if up.leaving and name in state.holder.held:
@@ -239,8 +241,8 @@
         for h in hosts
         if h.role == "router"
     ]
-    known = {m.host for m in members}
-    seeds = [m for m in get_seeds(state) if m.host not in known]
+    known_hosts = {m.host for m in members}
+    seeds = [m for m in get_seeds(state) if m.host not in known_hosts]
     state.peers.set_members(members + seeds)
     owning.update_ownership(state)
 
@@ -250,7 +252,7 @@
     return [Member(**seed) for seed in state.cfg["fleet"]["seeds"]]
 
 
-def _make_digest(state, peer, pools, greet, now):
+def _make_digest(state, peer, reports, is_whole, now):
     source = peer.source if peer else None
     claims = [
         state.holder.get_claim(name, state.health.is_ejected(name, now))
@@ -269,15 +271,15 @@
         echo=peer.sent_at if peer else 0.0,
         leaving=state.leaving,
         config_offset=state.configuration.offset,
-        identity=Identity(state.domain, state.links.address) if greet else None,
-        whole=greet,
-        pools=pools,
+        identity=Identity(state.domain, state.links.address) if is_whole else None,
+        whole=is_whole,
+        pools=reports,
         claims=claims,
         grants=grants,
     )
 
 
-def _catch_up(state, peer, digest):
+def _request_missing_state(state, peer, digest):
     if not state.history_known:
         _send(state, peer, HistoryQuery)
     needed = state.config_gap or not state.config_known
@@ -285,10 +287,10 @@
         _send(state, peer, ViewQuery, offset=state.configuration.offset)
 
 
-def _send(state, peer, kind, **fields):
+def _send(state, peer, message_type, **fields):
     address = state.peers.get_address(peer)
     if address:
-        message = kind(source=state.source, seq=state.next_seq(), **fields)
+        message = message_type(source=state.source, seq=state.next_seq(), **fields)
         state.links.send(address, message)
 
 
--- a/packages/valeweir_router/src/valeweir_router/granting.py
+++ b/packages/valeweir_router/src/valeweir_router/granting.py
@@ -9,30 +9,34 @@
 
 from . import dispatching
 
-_RECALL_GAP = 0.05
-_DRY_SECONDS = 2.0
+_MIN_RECALL_INTERVAL_S = 0.05
+_STARVATION_S = 2.0
 
 
-def plan(state, pool):
+def grant_slots(state, pool):
     """Grant the free slots of the upstreams we own in a pool."""
     now = state.clock()
     free = _get_free(state, pool, now)
     if not free:
-        recall_idle(state, pool)
+        recall_idle_slots(state, pool)
         return
-    wants = _get_wants(state, pool)
-    if not wants:
+    demands = _get_demands(state, pool)
+    if not demands:
         return
-    dry = _find_dry(state, pool, {want.holder for want in wants}, now)
-    prefer = _prefer_for(state)
-    gifts = assign_slots(pool, free, wants, state.ledger, prefer, state.rng, dry)
-    deliver(state, gifts, now)
+    starved = _find_starved_holders(
+        state, pool, {demand.holder for demand in demands}, now
+    )
+    select_upstream = _create_upstream_selector(state)
+    assignments = assign_slots(
+        pool, free, demands, state.ledger, select_upstream, state.rng, starved
+    )
+    apply_assignments(state, assignments, now)
 
 
-def recall_idle(state, pool):
+def recall_idle_slots(state, pool):
     """Ask holders for slots that lie idle while others wait."""
     now = state.clock()
-    if now - state.last_recall.get(pool, 0.0) < _RECALL_GAP:
+    if now - state.last_recall_at.get(pool, 0.0) < _MIN_RECALL_INTERVAL_S:
         return
     if not state.ledger.get_waiting(pool):
         return
@@ -42,11 +46,11 @@
             if holder != state.source and entry.idle:
                 idle.setdefault(holder, []).append(name)
     for holder, names in idle.items():
-        state.last_recall[pool] = now
+        state.last_recall_at[pool] = now
         send_offer(state, holder, [], names)
 
 
-def plan_idle(state):
+def grant_idle_slots(state):
     """Spread what nobody waits for as small floats."""
     limit = state.cfg["sharing"]["float_slots"]
     now = state.clock()
@@ -62,18 +66,20 @@
                 for holder, entry in state.tables[name].entries.items():
                     if holder in held:
                         held[holder] += entry.slots - entry.used
-        deliver(state, assign_idle_slots(free, held, limit), now)
+        apply_assignments(state, assign_idle_slots(free, held, limit), now)
 
 
-def deliver(state, gifts, now):
+def apply_assignments(state, assignments, now):
     """Enter gifts in the tables and tell the holders."""
     grants = {}
-    for gift in gifts:
-        state.tables[gift.upstream].grant(gift.holder, 1, now)
-        if gift.account is not None and gift.holder != state.source:
-            pool = state.upstreams[gift.upstream].pool
-            state.ledger.deduct_demand(gift.holder, ServiceKey(pool, gift.account))
-        grants.setdefault(gift.holder, set()).add(gift.upstream)
+    for assignment in assignments:
+        state.tables[assignment.upstream].grant(assignment.holder, 1, now)
+        if assignment.account is not None and assignment.holder != state.source:
+            pool = state.upstreams[assignment.upstream].pool
+            state.ledger.deduct_demand(
+                assignment.holder, ServiceKey(pool, assignment.account)
+            )
+        grants.setdefault(assignment.holder, set()).add(assignment.upstream)
     for holder, names in grants.items():
         rows = [state.tables[name].get_grant(holder) for name in sorted(names)]
         if holder == state.source:
@@ -93,43 +99,48 @@
     return free
 
 
-def _get_wants(state, pool):
-    own = state.ledger.get_own_waiting(pool)
-    wants = [SlotDemand(state.source, account, count) for account, count in own.items()]
+def _get_demands(state, pool):
+    own_counts = state.ledger.get_own_waiting(pool)
+    demands = [
+        SlotDemand(state.source, account, count)
+        for account, count in own_counts.items()
+    ]
     for peer in state.peers.get_live():
-        demand = state.ledger.get_demand(peer.source, pool)
-        wants += [SlotDemand(peer.source, a, count) for a, count in demand.items()]
-    return wants
+        counts = state.ledger.get_demand(peer.source, pool)
+        demands += [SlotDemand(peer.source, a, count) for a, count in counts.items()]
+    return demands
 
 
-def _prefer_for(state):
+def _create_upstream_selector(state):
     domains = {p.source: p.domain for p in state.peers.get_live()}
     domains[state.source] = state.domain
 
-    def prefer(holder, names):
-        open_to = [n for n in names if not _is_refused(state, n, holder)]
-        if not open_to:
+    def select_upstream(holder, names):
+        eligible = [n for n in names if not _is_refused(state, n, holder)]
+        if not eligible:
             return None
-        home = domains.get(holder)
-        return min(open_to, key=lambda n: (state.upstreams[n].domain != home, n))
+        holder_domain = domains.get(holder)
+        return min(
+            eligible, key=lambda n: (state.upstreams[n].domain != holder_domain, n)
+        )
 
-    return prefer
+    return select_upstream
 
 
-def _find_dry(state, pool, holders, now):
+def _find_starved_holders(state, pool, holders, now):
     """Return holders with work and no slot of ours, for too long or leaving."""
     tables = [state.tables[name] for name in state.owned.get(pool, ())]
-    dry = set()
+    starved = set()
     for holder in holders:
         if any(_get_slots(table, holder) for table in tables):
-            state.last_slot[holder, pool] = now
+            state.last_slot_at[holder, pool] = now
             continue
-        since = state.last_slot.setdefault((holder, pool), now)
+        since = state.last_slot_at.setdefault((holder, pool), now)
         peer = state.peers.by_source.get(holder)
         leaving = peer is not None and state.peers.is_leaving(peer)
-        if leaving or now - since > _DRY_SECONDS:
-            dry.add(holder)
-    return dry
+        if leaving or now - since > _STARVATION_S:
+            starved.add(holder)
+    return starved
 
 
 def _is_refused(state, upstream, holder):
--- a/packages/valeweir_router/src/valeweir_router/holding.py
+++ b/packages/valeweir_router/src/valeweir_router/holding.py
@@ -10,22 +10,22 @@
 
 from . import granting, owning
 
-ASK_GAP = 0.05
-_SILENT_INTERVALS = 2.2
+MIN_ASK_INTERVAL_S = 0.05
+_MAX_SILENCE_INTERVALS = 2.2
 
 
-def want(state, pool, account):
+def request_slots(state, pool, account):
     """Ask the owners of a pool for slots, at most once in `ASK_GAP`.
 
     Nothing is asked while the owners know of requests of this account that
     wait here: they count on it for the next free slot anyway.
     """
     now = state.clock()
-    granting.plan(state, pool)
-    if state.told.get(pool, {}).get(account, 0) > 0:
+    granting.grant_slots(state, pool)
+    if state.announced_waiting.get(pool, {}).get(account, 0) > 0:
         return
-    if now - state.last_ask.get(pool, 0.0) < ASK_GAP:
-        state.ask_due.add(pool)
+    if now - state.last_ask_at.get(pool, 0.0) < MIN_ASK_INTERVAL_S:
+        state.pools_with_due_ask.add(pool)
         return
     send_ask(state, pool, get_pool_owners(state, pool))
 
@@ -33,11 +33,11 @@
 def send_ask(state, pool, owners, upstreams=()):
     """Tell owners what waits here; claims of ``upstreams`` go along."""
     now = state.clock()
-    state.last_ask[pool] = now
-    state.ask_due.discard(pool)
+    state.last_ask_at[pool] = now
+    state.pools_with_due_ask.discard(pool)
     waiting = state.ledger.get_own_waiting(pool)
     if set(owners) >= get_pool_owners(state, pool):
-        state.told[pool] = dict(waiting)
+        state.announced_waiting[pool] = dict(waiting)
     for source in owners:
         peer = state.peers.by_source.get(source)
         if peer is None or not peer.live:
@@ -66,43 +66,43 @@
     """Return free slots to their owner, which grants them anew at once."""
     if not _can_return(state, upstream):
         return
-    given = state.holder.return_slots(upstream, count)
-    if not given:
+    returned_count = state.holder.return_slots(upstream, count)
+    if not returned_count:
         return
-    metrics.slot_moves.labels("back").inc(given)
+    metrics.slot_moves.labels("back").inc(returned_count)
     pool = state.upstreams[upstream].pool if upstream in state.upstreams else ""
-    _predict_use(state, pool, given)
+    _add_predicted_service(state, pool, returned_count)
     if state.owners.get(upstream) == state.source:
-        _claim_own(state, upstream)
-        granting.plan(state, pool)
+        _merge_own_claim(state, upstream)
+        granting.grant_slots(state, pool)
         return
     send_ask(state, pool, owning.get_claim_targets(state, upstream), [upstream])
 
 
-def give_idle(state):
+def return_idle_slots(state):
     """Hand back slots that others can use, or that have long lain idle."""
     for pool, names in state.pools.items():
         queue = state.get_queue(pool)
-        wanted = state.ledger.elsewhere.get(pool)
-        keep = 0 if wanted else state.cfg["sharing"]["float_slots"]
+        demand_elsewhere = state.ledger.elsewhere.get(pool)
+        reserve = 0 if demand_elsewhere else state.cfg["sharing"]["float_slots"]
         if queue.size:
             continue
-        spare = sum(held.free for held in _get_held(state, names)) - keep
+        surplus = sum(held.free for held in _get_held(state, names)) - reserve
         for name in sorted(names):
             held = state.holder.held.get(name)
-            if spare <= 0:
+            if surplus <= 0:
                 break
             if held is None or not held.free:
                 continue
-            idle = min(held.free, spare, state.idle_low.get(name, 0))
-            count = min(held.free, spare) if wanted else idle
+            idle_count = min(held.free, surplus, state.min_free_slots.get(name, 0))
+            count = min(held.free, surplus) if demand_elsewhere else idle_count
             if count > 0:
                 hand_back(state, name, count)
-                spare -= count
-    state.idle_low = {n: h.free for n, h in state.holder.held.items()}
+                surplus -= count
+    state.min_free_slots = {n: h.free for n, h in state.holder.held.items()}
 
 
-def answer_recall(state, upstreams):
+def handle_recall(state, upstreams):
     """Hand back what lies idle here of upstreams whose owner asks."""
     for name in upstreams:
         up = state.upstreams.get(name)
@@ -118,7 +118,7 @@
     return owners - {None, state.source}
 
 
-def renew_own(state):
+def renew_own_leases(state):
     """Extend the leases that this router holds of itself."""
     state.holder.renew_leases(state.source, state.clock())
 
@@ -130,18 +130,20 @@
         logger.bind(upstream=upstream).warning("lease lapsed")
 
 
-def _predict_use(state, pool, count):
+def _add_predicted_service(state, pool, count):
     """Assume that returned slots go to the least-served account elsewhere.
 
     Until the next report this keeps one hungry account from drawing every
     slot that frees in the meantime.
     """
     for _ in range(count):
-        least = state.ledger.get_least_served_elsewhere(pool)
-        if least is None:
+        least_served = state.ledger.get_least_served_elsewhere(pool)
+        if least_served is None:
             return
-        unit = state.ledger.get_mean_charge(pool)
-        state.ledger.add_pending("predicted", ServiceKey(pool, least[1]), unit)
+        mean_charge = state.ledger.get_mean_charge(pool)
+        state.ledger.add_pending(
+            "predicted", ServiceKey(pool, least_served[1]), mean_charge
+        )
 
 
 def _get_held(state, names):
@@ -160,10 +162,13 @@
     peer = state.peers.by_source.get(owner)
     if peer is None or not peer.live:
         return False
-    return state.clock() - peer.heard < _SILENT_INTERVALS * state.pace.get_interval()
+    return (
+        state.clock() - peer.heard
+        < _MAX_SILENCE_INTERVALS * state.digest_interval.get_interval()
+    )
 
 
-def _claim_own(state, upstream):
+def _merge_own_claim(state, upstream):
     table = state.tables.get(upstream)
     if table is not None:
         claim = state.holder.get_claim(upstream)
--- a/packages/valeweir_router/src/valeweir_router/main.py
+++ b/packages/valeweir_router/src/valeweir_router/main.py
@@ -12,9 +12,9 @@
 
 from .router import create_router
 
-_BAD_SETTINGS = 2
-_CUT = 1
-_THREAD_STACK = 256 << 10
+_EXIT_BAD_SETTINGS = 2
+_EXIT_REQUESTS_CUT = 1
+_THREAD_STACK_BYTES = 256 << 10
 
 
 @click.command()
@@ -31,24 +31,24 @@
     except SettingsError as exc:
         for fault in exc.faults:
             click.echo(f"{exc.path}: {fault}", err=True)
-        sys.exit(_BAD_SETTINGS)
+        sys.exit(_EXIT_BAD_SETTINGS)
     prepare_logs(cfg["log"]["form"], cfg["log"]["level"])
     # Thousands of callers may wait, each in a thread of its own.
-    threading.stack_size(_THREAD_STACK)
+    threading.stack_size(_THREAD_STACK_BYTES)
     router = create_router(cfg)
-    asked = threading.Event()
+    stop_requested = threading.Event()
 
     def on_signal(_number, _frame):
-        if asked.is_set():
-            router.end_now()
-        asked.set()
+        if stop_requested.is_set():
+            router.abort_stop_waits()
+        stop_requested.set()
 
     signal.signal(signal.SIGTERM, on_signal)
     signal.signal(signal.SIGINT, on_signal)
     router.start()
-    while not asked.wait(1.0):
+    while not stop_requested.wait(1.0):
         pass
-    sys.exit(_CUT if router.stop() else 0)
+    sys.exit(_EXIT_REQUESTS_CUT if router.stop() else 0)
 
 
 if __name__ == "__main__":
--- a/packages/valeweir_router/src/valeweir_router/owning.py
+++ b/packages/valeweir_router/src/valeweir_router/owning.py
@@ -13,10 +13,10 @@
 from valeweir_sharing.ownership import choose_owner, get_candidates, get_group
 
 from . import dispatching
-from .granting import plan, send_offer
+from .granting import grant_slots, send_offer
 
 
-def note_pause(state):
+def renew_epochs_after_pause(state):
     """Start tenures anew after a pause in which others may have taken over."""
     now = state.clock()
     paused = now - state.last_tick > state.holder.lease_time
@@ -47,29 +47,29 @@
     """Take in what a holder says of upstreams we own; return pools to plan."""
     now = state.clock()
     pools = set()
-    answers = []
+    grants = []
     for claim in claims:
         table = state.tables.get(claim.upstream)
         if table is None:
             continue
-        rival = table.merge_claim(holder, claim, now)
-        if rival is not None:
-            _outbid(state, table, rival, now)
+        higher_epoch = table.merge_claim(holder, claim, now)
+        if higher_epoch is not None:
+            _raise_epoch(state, table, higher_epoch, now)
         elif table.entries[holder].lease != claim.lease or claim.epoch != table.epoch:
-            answers.append(table.get_grant(holder))
+            grants.append(table.get_grant(holder))
         pools.add(state.upstreams[claim.upstream].pool)
-    if answers:
-        send_offer(state, holder, answers)
+    if grants:
+        send_offer(state, holder, grants)
     return pools
 
 
-def take_over(state, handover):
+def adopt_handover(state, handover):
     """Use the last owner's table, now or once the upstream is ours."""
     now = state.clock()
     state.handovers[handover.upstream] = (now, handover)
     if handover.upstream in state.tables:
-        _use_handover(state, handover.upstream, now)
-        plan(state, state.upstreams[handover.upstream].pool)
+        _apply_handover(state, handover.upstream, now)
+        grant_slots(state, state.upstreams[handover.upstream].pool)
 
 
 def expire_leases(state):
@@ -126,14 +126,14 @@
 def _update_tables(state, now):
     recovery_ends_at = now + state.holder.lease_time + LEASE_MARGIN_S
     for name, up in state.upstreams.items():
-        mine = state.owners.get(name) == state.source
+        is_owner = state.owners.get(name) == state.source
         table = state.tables.get(name)
-        if mine and table is None:
+        if is_owner and table is None:
             epoch = _get_next_epoch(state, name)
             state.tables[name] = Table(name, up.slots, epoch, recovery_ends_at)
             logger.bind(upstream=name, epoch=epoch).info("ownership taken")
-            _use_handover(state, name, now)
-        elif mine:
+            _apply_handover(state, name, now)
+        elif is_owner:
             table.capacity = up.slots
         elif table is not None:
             del state.tables[name]
@@ -162,30 +162,30 @@
     state.links.send(state.peers.get_address(peer), handover)
 
 
-def _use_handover(state, upstream, now):
-    at, handover = state.handovers.pop(upstream, (0.0, None))
-    if handover is None or now - at > state.peers.patience:
+def _apply_handover(state, upstream, now):
+    received_at, handover = state.handovers.pop(upstream, (0.0, None))
+    if handover is None or now - received_at > state.peers.patience:
         return
     held = state.holder.held.get(upstream)
     if held is not None and held.epoch > handover.epoch:
         # Another owner came after the one that sends this.
         return
     table = state.tables[upstream]
-    ready_at = at + handover.wait
+    ready_at = received_at + handover.wait
     table.take_over(handover.epoch, handover.holders, ready_at, now)
     logger.bind(upstream=upstream, epoch=table.epoch).info("table taken over")
 
 
 def _get_next_epoch(state, upstream):
     held = state.holder.held.get(upstream)
-    known = held.epoch if held is not None else 0
-    return max(known + 1, int(time.time()))
+    held_epoch = held.epoch if held is not None else 0
+    return max(held_epoch + 1, int(time.time()))
 
 
-def _outbid(state, table, rival, now):
+def _raise_epoch(state, table, other_epoch, now):
     """Start a higher tenure after another owner's, if it is our turn to own."""
     recovery_ends_at = now + state.holder.lease_time + LEASE_MARGIN_S
-    table.renew(max(rival + 1, int(time.time())), recovery_ends_at)
+    table.renew(max(other_epoch + 1, int(time.time())), recovery_ends_at)
     logger.bind(upstream=table.upstream, epoch=table.epoch).warning("epoch raised")
 
 
@@ -193,18 +193,18 @@
     """Split every upstream's slots evenly over the routers of the settings."""
     seeds = state.cfg["fleet"]["seeds"]
     hosts = sorted({s["host"] for s in seeds} | {state.host})
-    place = hosts.index(state.host)
+    index = hosts.index(state.host)
     for number, up in enumerate(state.upstreams.values()):
-        slots, extra = divmod(up.slots, len(hosts))
-        mine = slots + ((place + number * extra) % len(hosts) < extra)
-        held = state.holder.held.setdefault(up.name, _make_static())
-        held.granted = mine
+        quotient, remainder = divmod(up.slots, len(hosts))
+        slot_count = quotient + ((index + number * remainder) % len(hosts) < remainder)
+        held = state.holder.held.setdefault(up.name, _make_static_lease())
+        held.granted = slot_count
     state.holder.heard["static"] = float("inf")
     for pool in state.pools:
         dispatching.dispatch(state, pool)
 
 
-def _make_static():
+def _make_static_lease():
     held = Held()
     held.owner = "static"
     held.epoch = held.lease = 1
--- a/packages/valeweir_router/src/valeweir_router/router.py
+++ b/packages/valeweir_router/src/valeweir_router/router.py
@@ -19,11 +19,11 @@
 from .sessions import create_handler
 from .states import RouterState
 
-_ADMIN_THREADS = 64
-_STOP_POLL = 0.05
-_SNAPSHOT_EVERY = 200
-_SNAPSHOT_CHECK = 5.0
-_NUMBER_DIGITS = "0123456789abcdefghijklmnopqrstuvwxyz"
+_ADMIN_THREAD_COUNT = 64
+_STOP_POLL_INTERVAL_S = 0.05
+_SNAPSHOT_INTERVAL_RECORDS = 200
+_SNAPSHOT_CHECK_INTERVAL_S = 5.0
+_BASE36_DIGITS = "0123456789abcdefghijklmnopqrstuvwxyz"
 
 
 class Router:
@@ -44,10 +44,16 @@
         self.state.links.start(self._handle)
         self.admin.start_threads()
         self.callers.start_threads()
-        self.timers.subscribe("digests", self.state.pace.get_interval, self._tick)
-        self.timers.subscribe("asks", holding.ASK_GAP, self._flush_asks)
+        self.timers.subscribe(
+            "digests", self.state.digest_interval.get_interval, self._tick
+        )
+        self.timers.subscribe(
+            "asks", holding.MIN_ASK_INTERVAL_S, self._send_delayed_asks
+        )
         self.timers.subscribe("members", cfg["platform"]["poll"], self._read_members)
-        self.timers.subscribe("snapshots", _SNAPSHOT_CHECK, self._check_snapshot)
+        self.timers.subscribe(
+            "snapshots", _SNAPSHOT_CHECK_INTERVAL_S, self._check_snapshot
+        )
         self.timers.start()
         threading.Thread(
             target=self.follower.run,
@@ -71,21 +77,21 @@
         with state.lock:
             state.refusing = True
         self._wait(deadline, lambda: state.inflight == 0)
-        left = state.inflight
-        self._end()
-        logger.bind(cut=left).info("stopped")
-        return left
+        cut_count = state.inflight
+        self._shut_down()
+        logger.bind(cut=cut_count).info("stopped")
+        return cut_count
 
-    def end_now(self):
+    def abort_stop_waits(self):
         """Cut a planned stop's waits short."""
         self.stopped.set()
 
     def _wait(self, deadline, is_done):
         while time.monotonic() < deadline and not is_done():
-            if self.stopped.wait(_STOP_POLL):
+            if self.stopped.wait(_STOP_POLL_INTERVAL_S):
                 return
 
-    def _end(self):
+    def _shut_down(self):
         self.stopped.set()
         self.timers.stop()
         with self.state.lock:
@@ -103,18 +109,20 @@
         started = time.thread_time()
         with self.state.lock:
             gossip.tick(self.state)
-            self.state.pace.note(self.state.links.sent_bytes, self.state.clock())
+            self.state.digest_interval.note(
+                self.state.links.sent_bytes, self.state.clock()
+            )
         metrics.control_seconds.inc(time.thread_time() - started)
 
-    def _flush_asks(self):
+    def _send_delayed_asks(self):
         with self.state.lock:
-            for pool in list(self.state.ask_due):
+            for pool in list(self.state.pools_with_due_ask):
                 owners = holding.get_pool_owners(self.state, pool)
                 holding.send_ask(self.state, pool, owners)
 
     def _check_snapshot(self):
         """Write a snapshot when one is due and this router is chosen to."""
-        due = self.follower.get_records_since_snapshot() >= _SNAPSHOT_EVERY
+        due = self.follower.get_records_since_snapshot() >= _SNAPSHOT_INTERVAL_RECORDS
         state = self.state
         with state.lock:
             state.config_gap = self.follower.gap
@@ -136,7 +144,7 @@
     """Return a `Router` for checked settings, its ports bound."""
     state = RouterState(cfg, _make_source(cfg["host"]))
     fleet = cfg["fleet"]
-    state.links = Links(fleet["address"], _get_keys(fleet))
+    state.links = Links(fleet["address"], _get_curve_keys(fleet))
     state.peers.set_members(gossip.get_seeds(state))
     platform = cfg["platform"]
     log = create_log(platform["log"], platform["timeout"])
@@ -145,40 +153,40 @@
         state.configuration,
         state.lock,
         on_change=lambda: gossip.apply_configuration(state),
-        on_reached=lambda: _note_reached(state),
+        on_reached=lambda: _mark_config_known(state),
     )
     callers = _create_port(
         cfg["callers"], create_handler(state, Connections()), cfg["callers"]["threads"]
     )
     admin = _create_port(
-        cfg["admin"], create_admin_handler(state, follower.submit), _ADMIN_THREADS
+        cfg["admin"], create_admin_handler(state, follower.submit), _ADMIN_THREAD_COUNT
     )
     membership = create_membership(platform["membership"], platform["timeout"])
     return Router(state, callers, admin, TimerService(), follower, membership)
 
 
-def _create_port(part, handle, threads):
+def _create_port(section, handle, threads):
     server = create_server(
-        part["address"],
+        section["address"],
         handle,
         threads=threads,
-        max_body=part.get("max_body", 1 << 20),
-        max_header=part.get("max_header", 32 << 10),
-        timeout=part.get("header_timeout", 10.0),
+        max_body=section.get("max_body", 1 << 20),
+        max_header=section.get("max_header", 32 << 10),
+        timeout=section.get("header_timeout", 10.0),
         note_refusal=lambda code: metrics.refusals.labels(code).inc(),
     )
-    if "certificate" in part:
-        set_tls(server, part["certificate"], part["key"])
+    if "certificate" in section:
+        set_tls(server, section["certificate"], section["key"])
     return server
 
 
-def _note_reached(state):
+def _mark_config_known(state):
     if not state.config_known:
         state.config_known = True
         logger.bind(offset=state.configuration.offset).info("configuration known")
 
 
-def _get_keys(fleet):
+def _get_curve_keys(fleet):
     if "public_key" not in fleet or "secret_key" not in fleet:
         return None
     allowed = fleet.get("allowed_keys") or [fleet["public_key"]]
@@ -194,6 +202,6 @@
     number = time.time_ns() // 1_000_000
     digits = ""
     while number:
-        number, digit = divmod(number, len(_NUMBER_DIGITS))
-        digits = _NUMBER_DIGITS[digit] + digits
+        number, digit = divmod(number, len(_BASE36_DIGITS))
+        digits = _BASE36_DIGITS[digit] + digits
     return f"{host}#{digits}"
--- a/packages/valeweir_router/src/valeweir_router/scheduler.py
+++ b/packages/valeweir_router/src/valeweir_router/scheduler.py
@@ -30,18 +30,18 @@
     return True
 
 
-def note_progress(state, ticket, cost):
+def settle_progress(state, ticket, cost):
     """Settle the part of a running request's cost that is known by now."""
-    done = cost / ticket.weight
-    delta = done - ticket.settled
+    total = cost / ticket.weight
+    delta = total - ticket.settled
     if delta <= 0:
         return
     covered = min(delta, max(0.0, ticket.charge - ticket.settled))
     state.ledger.settle(ticket.key, covered, delta)
-    ticket.settled = done
+    ticket.settled = total
 
 
-def finish(state, ticket, cost, learn):
+def finish(state, ticket, cost, is_complete):
     """End a ticket's use of its slot, at its real cost.
 
     Parameters
@@ -51,9 +51,9 @@
     """
     upstream = ticket.placement.upstream
     open_charge = max(0.0, ticket.charge - ticket.settled)
-    rest = max(0.0, cost / ticket.weight - ticket.settled)
-    state.ledger.settle(ticket.key, open_charge, rest)
-    if learn:
+    unsettled_cost = max(0.0, cost / ticket.weight - ticket.settled)
+    state.ledger.settle(ticket.key, open_charge, unsettled_cost)
+    if is_complete:
         state.estimates.learn(ticket.pool, ticket.account, ticket.work_class, cost)
     state.holder.finish(upstream)
     metrics.service.labels(ticket.pool, ticket.account).inc(cost)
@@ -73,17 +73,17 @@
         # What is still here must end before the process does.
         dispatching.dispatch(state, pool)
         return
-    least = get_least_service(state.get_queue(pool), state.ledger, pool)
-    elsewhere = state.ledger.get_least_served_elsewhere(pool)
-    there = elsewhere[0] if elsewhere else None
-    if should_hand_back(least, there, state.get_slack(pool)):
+    local_least = get_least_service(state.get_queue(pool), state.ledger, pool)
+    least_elsewhere = state.ledger.get_least_served_elsewhere(pool)
+    elsewhere_least = least_elsewhere[0] if least_elsewhere else None
+    if should_hand_back(local_least, elsewhere_least, state.get_slack(pool)):
         holding.hand_back(state, upstream, 1)
     dispatching.dispatch(state, pool)
 
 
-def _queue(state, ticket, add):
+def _queue(state, ticket, enqueue):
     state.ledger.add_waiting(ticket.key, 1)
-    add(ticket)
+    enqueue(ticket)
     dispatching.dispatch(state, ticket.pool)
     if ticket.placement is None:
-        holding.want(state, ticket.pool, ticket.account)
+        holding.request_slots(state, ticket.pool, ticket.account)
--- a/packages/valeweir_router/src/valeweir_router/sessions.py
+++ b/packages/valeweir_router/src/valeweir_router/sessions.py
@@ -9,11 +9,11 @@
 from valeweir_sharing.limits import get_retry_after
 
 from . import claims, scheduler
-from .endings import MAX_ATTEMPTS, end, explain, may_retry, note_end
+from .endings import MAX_ATTEMPTS, count_outcome, make_refusal, may_retry, refuse
 from .entering import admit
-from .exchanging import Progress, exchange_once, note_health
+from .exchanging import CostProgress, exchange_once, record_health
 
-_CALLER_CHECK = 2.0
+_CALLER_CHECK_INTERVAL_S = 2.0
 
 
 def create_handler(state, connections):
@@ -28,13 +28,13 @@
         request_id = f"{prefix}-{next(numbers)}"
         result = admit(state, request, reply, request_id)
         if isinstance(result, Refusal):
-            note_end("", result.outcome, result.code)
+            count_outcome("", result.outcome, result.code)
             send_refusal(reply, result, request_id)
             return
         if result is None:
             return
         try:
-            _serve_once(state, connections, result)
+            _serve_at_most_once(state, connections, result)
         finally:
             with state.lock:
                 state.inflight -= 1
@@ -43,39 +43,39 @@
     return handle
 
 
-def _serve_once(state, connections, served):
+def _serve_at_most_once(state, connections, admitted):
     """Serve a request; one with a key only if the key is its own."""
-    text = served.request.headers.get(IDEMPOTENCY_HEADER)
-    if served.repeatable or not text:
-        _serve(state, connections, served)
+    key_text = admitted.request.headers.get(IDEMPOTENCY_HEADER)
+    if admitted.repeatable or not key_text:
+        _serve(state, connections, admitted)
         return
-    ticket = served.ticket
-    key = claims.make_key(ticket.account, ticket.pool, text)
-    number = claims.make_number(ticket.id)
-    refusal = claims.claim(state, key, number)
+    ticket = admitted.ticket
+    key = claims.make_key(ticket.account, ticket.pool, key_text)
+    number = claims.make_request_number(ticket.id)
+    refusal = claims.claim_key(state, key, number)
     if refusal is not None:
-        end(served, refusal)
+        refuse(admitted, refusal)
         return
-    if _serve(state, connections, served) is Outcome.NOT_RUN:
-        claims.release(state, key, number)
+    if _serve(state, connections, admitted) is Outcome.NOT_RUN:
+        claims.release_key(state, key, number)
 
 
-def _serve(state, connections, served):
+def _serve(state, connections, admitted):
     """Queue, send and answer a request; return its `Outcome`."""
-    ticket = served.ticket
+    ticket = admitted.ticket
     with state.lock:
         scheduler.submit(state, ticket)
     for attempt in range(1, MAX_ATTEMPTS + 1):
-        refusal = _wait_for_slot(state, served)
+        refusal = _wait_for_slot(state, admitted)
         if refusal is not None:
-            end(served, refusal)
+            refuse(admitted, refusal)
             return refusal.outcome
-        failure = _attempt(state, connections, served)
+        failure = _attempt(state, connections, admitted)
         if failure is None:
             return Outcome.COMPLETE
-        if not may_retry(state, served, failure, attempt):
-            refusal = explain(served, failure)
-            end(served, refusal)
+        if not may_retry(state, admitted, failure, attempt):
+            refusal = make_refusal(admitted, failure)
+            refuse(admitted, refusal)
             return refusal.outcome
         metrics.retries.labels(ticket.pool, failure.fault.value).inc()
         with state.lock:
@@ -84,22 +84,24 @@
     raise AssertionError("the last attempt may not be retried")
 
 
-def _wait_for_slot(state, served):
+def _wait_for_slot(state, admitted):
     """Wait until the ticket has a slot; return None, or why it got none."""
-    ticket = served.ticket
+    ticket = admitted.ticket
     while True:
-        left = ticket.deadline - state.clock()
-        if left > 0 and ticket.gate.acquire(timeout=min(left, _CALLER_CHECK)):
+        remaining_s = ticket.deadline - state.clock()
+        if remaining_s > 0 and ticket.slot_signal.acquire(
+            timeout=min(remaining_s, _CALLER_CHECK_INTERVAL_S)
+        ):
             return None
-        gone = served.reply.is_gone()
-        if left > 0 and not gone:
+        caller_gone = admitted.reply.is_gone()
+        if remaining_s > 0 and not caller_gone:
             continue
         with state.lock:
             if not scheduler.withdraw(state, ticket):
                 # A slot came in this very moment; use it or let it go.
-                ticket.gate.acquire()
+                ticket.slot_signal.acquire()
                 return None
-        if gone:
+        if caller_gone:
             return Refusal(499, "caller-gone", "the caller hung up", "none")
         return Refusal(
             504,
@@ -110,19 +112,19 @@
         )
 
 
-def _attempt(state, connections, served):
+def _attempt(state, connections, admitted):
     """Send the request once; return None when answered, or the `Failure`."""
-    ticket = served.ticket
+    ticket = admitted.ticket
     started = state.clock()
-    progress = Progress(state, served)
-    failure = exchange_once(state, connections, served, progress)
+    progress = CostProgress(state, admitted)
+    failure = exchange_once(state, connections, admitted, progress)
     elapsed = state.clock() - started
     upstream = ticket.placement.upstream
     metrics.upstream_seconds.labels(ticket.pool).observe(elapsed)
-    cost = progress.cost if served.demand.is_model else elapsed * 1000.0
+    cost = progress.cost if admitted.demand.is_model else elapsed * 1000.0
     with state.lock:
-        note_health(state, upstream, failure, served)
-        scheduler.finish(state, ticket, cost, learn=failure is None)
+        record_health(state, upstream, failure, admitted)
+        scheduler.finish(state, ticket, cost, is_complete=failure is None)
     if failure is None:
-        note_end(ticket.pool, Outcome.COMPLETE, "")
+        count_outcome(ticket.pool, Outcome.COMPLETE, "")
     return failure
--- a/packages/valeweir_router/src/valeweir_router/states.py
+++ b/packages/valeweir_router/src/valeweir_router/states.py
@@ -46,9 +46,9 @@
         "arrived",
         "charge",
         "deadline",
-        "dispatched",
+        "dispatched_at",
         "excluded",
-        "gate",
+        "slot_signal",
         "id",
         "placement",
         "pool",
@@ -70,11 +70,11 @@
         self.weight = 1.0
         self.charge = 0.0
         self.settled = 0.0
-        self.dispatched = 0.0
+        self.dispatched_at = 0.0
         self.excluded = set()
         self.placement = None
-        self.gate = threading.Lock()
-        self.gate.acquire()
+        self.slot_signal = threading.Lock()
+        self.slot_signal.acquire()
 
     @property
     def key(self):
@@ -114,7 +114,7 @@
         self.weight_sum = 1.0
         self.ledger = Ledger()
         self.ledger.complete = False
-        self.greeted = set()
+        self.fully_reported = set()
         self.estimates = CostEstimates()
         self.queues = {}
         self.holder = LeaseHolder(cfg["fleet"]["lease"])
@@ -123,35 +123,35 @@
         self.owned = {}
         self.handovers = {}
         self.last_tick = clock()
-        self.last_ask = {}
-        self.last_recall = {}
-        self.last_slot = {}
-        self.told = {}
-        self.ask_due = set()
-        self.idle_low = {}
+        self.last_ask_at = {}
+        self.last_recall_at = {}
+        self.last_slot_at = {}
+        self.announced_waiting = {}
+        self.pools_with_due_ask = set()
+        self.min_free_slots = {}
         self.peers = Peers(cfg["fleet"]["lease"] / 2)
-        self.pace = DigestInterval(cfg["fleet"])
+        self.digest_interval = DigestInterval(cfg["fleet"])
         self.health = UpstreamHealth(self.rng)
         self.hints = PrefixHints()
         self.loads = {}
         self.occupancy = Occupancy()
-        self.retries = RetryBudget()
+        self.retry_budget = RetryBudget()
         self.inflight = 0
         self.leaving = False
         self.refusing = False
         self.config_known = False
         self.config_gap = False
-        self.started = clock()
+        self.started_at = clock()
         self.keys = KeyTable()
-        self.keys_learned = set()
-        self.claims = {}
+        self.key_row_sources = set()
+        self.key_claims = {}
         self.history_known = False
         self.silent_since = {}
-        self.digests = 0
+        self.digest_count = 0
         self.seq = 0
         self.links = None
         sharing = cfg["sharing"]
-        self.order = OrderSettings(sharing["class_bonus"], sharing["aging"])
+        self.queue_order = OrderSettings(sharing["class_bonus"], sharing["aging"])
         callers = cfg["callers"]
         self.limits = AdmissionLimits(
             callers["max_waiting"], callers["max_waiting_body"], callers["max_body"]
@@ -169,13 +169,13 @@
         specific = self.weights.get(f"{account}.{pool}")
         return specific or self.weights.get(account, 1.0)
 
-    def get_part(self, account):
+    def get_weight_ratio(self, account):
         """Return the account's weight over the sum of all weights."""
         return self.weights.get(account, 1.0) / self.weight_sum
 
     def get_slack(self, pool):
         """Return the hand-back slack in cost per weight."""
-        slack = self.cfg["sharing"]["slack"] * self.pace.pressure
+        slack = self.cfg["sharing"]["slack"] * self.digest_interval.pressure
         return slack * self.ledger.get_mean_charge(pool)
 
     def next_seq(self):
--- a/packages/valeweir_router/src/valeweir_router/views.py
+++ b/packages/valeweir_router/src/valeweir_router/views.py
@@ -26,7 +26,7 @@
     return offsets
 
 
-def get_fleet_view(state):
+def get_fleet_status(state):
     """Return what this router knows of the fleet, for people and tools."""
     with state.lock:
         return {
