--- a/packages/valeweir_router/src/valeweir_router/dispatching.py
+++ b/packages/valeweir_router/src/valeweir_router/dispatching.py
@@ -19,7 +19,9 @@
         if not candidates:
             return
         ticket = choose_ticket(queue, state.ledger, pool, now, state.queue_order)
-        eligible = [c for c in candidates if c.upstream not in ticket.excluded]
+        eligible = [
+            c for c in candidates if c.upstream not in ticket.excluded_upstreams
+        ]
         choice = choose_upstream(
             eligible or candidates, ticket.prefix, state.hints, now
         )
--- a/packages/valeweir_router/src/valeweir_router/entering.py
+++ b/packages/valeweir_router/src/valeweir_router/entering.py
@@ -53,9 +53,14 @@
     if state.refusing:
         return _make_not_ready_refusal()
     weight_ratio = state.get_weight_ratio(account)
-    size = len(request.body)
+    body_size = len(request.body)
     exceeded_limit = find_exceeded_limit(
-        state.limits, state.occupancy, account, weight_ratio, demand.work_class, size
+        state.limits,
+        state.occupancy,
+        account,
+        weight_ratio,
+        demand.work_class,
+        body_size,
     )
     if exceeded_limit is not None:
         waiting = state.occupancy.get(account)[0]
@@ -73,11 +78,11 @@
         demand.work_class,
         now,
         now + demand.deadline,
-        size,
+        body_size,
         demand.prefix,
     )
     state.inflight += 1
-    state.occupancy.add(account, size)
+    state.occupancy.add(account, body_size)
     state.retry_budget.earn(account)
     repeatable = _is_repeatable(state, pool, demand, request.method)
     return AdmittedRequest(request, reply, demand, ticket, repeatable)
--- a/packages/valeweir_router/src/valeweir_router/router.py
+++ b/packages/valeweir_router/src/valeweir_router/router.py
@@ -29,10 +29,12 @@
 class Router:
     """A running router: its state and what has to be stopped."""
 
-    def __init__(self, state, callers, admin, timers, follower, membership):
+    def __init__(
+        self, state, caller_server, admin_server, timers, follower, membership
+    ):
         self.state = state
-        self.callers = callers
-        self.admin = admin
+        self.caller_server = caller_server
+        self.admin_server = admin_server
         self.timers = timers
         self.follower = follower
         self.membership = membership
@@ -42,8 +44,8 @@
         """Start every thread; returns at once."""
         cfg = self.state.cfg
         self.state.links.start(self._handle)
-        self.admin.start_threads()
-        self.callers.start_threads()
+        self.admin_server.start_threads()
+        self.caller_server.start_threads()
         self.timers.subscribe(
             "digests", self.state.digest_interval.get_interval, self._tick
         )
@@ -97,8 +99,8 @@
         with self.state.lock:
             # What was served since the last digest counts for the accounts.
             gossip.send_digests(self.state)
-        self.callers.stop()
-        self.admin.stop()
+        self.caller_server.stop()
+        self.admin_server.stop()
         self.state.links.stop()
 
     def _handle(self, message):
@@ -155,14 +157,16 @@
         on_change=lambda: gossip.apply_configuration(state),
         on_reached=lambda: _mark_config_known(state),
     )
-    callers = _create_port(
+    caller_server = _create_port(
         cfg["callers"], create_handler(state, Connections()), cfg["callers"]["threads"]
     )
-    admin = _create_port(
+    admin_server = _create_port(
         cfg["admin"], create_admin_handler(state, follower.submit), _ADMIN_THREAD_COUNT
     )
     membership = create_membership(platform["membership"], platform["timeout"])
-    return Router(state, callers, admin, TimerService(), follower, membership)
+    return Router(
+        state, caller_server, admin_server, TimerService(), follower, membership
+    )
 
 
 def _create_port(section, handle, threads):
--- a/packages/valeweir_router/src/valeweir_router/sessions.py
+++ b/packages/valeweir_router/src/valeweir_router/sessions.py
@@ -38,7 +38,7 @@
         finally:
             with state.lock:
                 state.inflight -= 1
-                state.occupancy.remove(result.ticket.account, result.ticket.size)
+                state.occupancy.remove(result.ticket.account, result.ticket.body_size)
 
     return handle
 
@@ -79,7 +79,7 @@
             return refusal.outcome
         metrics.retries.labels(ticket.pool, failure.fault.value).inc()
         with state.lock:
-            ticket.excluded.add(ticket.placement.upstream)
+            ticket.excluded_upstreams.add(ticket.placement.upstream)
             scheduler.resubmit(state, ticket)
     raise AssertionError("the last attempt may not be retried")
 
--- a/packages/valeweir_router/src/valeweir_router/states.py
+++ b/packages/valeweir_router/src/valeweir_router/states.py
@@ -47,31 +47,33 @@
         "charge",
         "deadline",
         "dispatched_at",
-        "excluded",
+        "excluded_upstreams",
         "slot_signal",
         "id",
         "placement",
         "pool",
         "prefix",
         "settled",
-        "size",
+        "body_size",
         "weight",
         "work_class",
     )
 
-    def __init__(self, request_id, key, work_class, arrived, deadline, size, prefix):
+    def __init__(
+        self, request_id, key, work_class, arrived, deadline, body_size, prefix
+    ):
         self.id = request_id
         self.pool, self.account = key
         self.work_class = work_class
         self.arrived = arrived
         self.deadline = deadline
-        self.size = size
+        self.body_size = body_size
         self.prefix = prefix
         self.weight = 1.0
         self.charge = 0.0
         self.settled = 0.0
         self.dispatched_at = 0.0
-        self.excluded = set()
+        self.excluded_upstreams = set()
         self.placement = None
         self.slot_signal = threading.Lock()
         self.slot_signal.acquire()
