--- a/packages/valeweir_router/src/valeweir_router/claims.py
+++ b/packages/valeweir_router/src/valeweir_router/claims.py
@@ -1,6 +1,7 @@
-"""Claims of idempotency keys, asked of their holders before a call is sent.
+"""Claims of idempotency keys, made at the key's holders before a call is sent.
 
-Functions expect the state's lock to be held, except `claim` and `release`.
+Holders are the routers that record a key. The caller of a function must hold the
+state's lock, except for `claim_key` and `release_key`.
 """
 
 import hashlib
@@ -26,7 +27,10 @@
 
 
 class PendingClaim:
-    """A claim under way: who was asked, and who has answered what."""
+    """A claim in progress: the holders asked and their answers.
+
+    ``decided`` is set when the claim is decided or all asked holders have answered.
+    """
 
     def __init__(self, holders):
         self.holders = holders
@@ -35,7 +39,7 @@
         self.decided = threading.Event()
 
     def add_answer(self, host, answer):
-        """Take in a holder's answer."""
+        """Record a holder's answer."""
         if host in self.asked_hosts:
             self.answers[host] = answer
         all_answered = len(self.answers) == len(self.asked_hosts)
@@ -43,18 +47,18 @@
             self.decided.set()
 
     def evaluate(self):
-        """Return whether the call may be sent; None where that is open."""
+        """Return whether the call may be sent, or None while this is undecided."""
         return evaluate_claim(self.answers, len(self.holders))
 
 
 def make_key(account, pool, text):
-    """Return the fleet-wide digest of a caller's key."""
+    """Return the digest that identifies a caller's key in the whole fleet."""
     data = f"{account}\0{pool}\0{text}".encode()
     return hashlib.blake2b(data, digest_size=_KEY_DIGEST_BYTES).digest()
 
 
 def make_request_number(request_id):
-    """Return the number that stands for a request in claims."""
+    """Return the number that identifies a request in claims."""
     digest = hashlib.blake2b(
         request_id.encode(), digest_size=_REQUEST_NUMBER_BYTES
     ).digest()
@@ -62,10 +66,11 @@
 
 
 def claim_key(state, key, request):
-    """Claim a key for a request; return None, or the `Refusal` to answer.
+    """Claim a key for a request; return None, or the `Refusal` to send.
 
-    A majority of the holders is asked first, the rest only if that does not
-    settle it: any two majorities share a holder, whichever they are.
+    A majority of the holders is asked first, the others only if its answers do not
+    decide the claim. Any two majorities have a common holder, so two claims of the
+    same key cannot both succeed.
     """
     with state.lock:
         pending = PendingClaim(_rank_holders(state, key))
@@ -89,22 +94,22 @@
         return Refusal(
             409,
             "key-already-sent",
-            "a call with this Idempotency-Key was accepted before",
-            "ask the service what became of it; it is not sent twice",
+            "a call with this Idempotency-Key has already been accepted",
+            "check its outcome with the service; it is not sent twice",
             outcome=Outcome.UNKNOWN,
         )
     return Refusal(
         503,
         "key-holders-unreachable",
-        "whether this Idempotency-Key was used before cannot be known now",
-        "send it again later with the same key: it runs at most once",
+        "it cannot be determined now whether this Idempotency-Key was used before",
+        "retry later with the same key: the call runs at most once",
         outcome=Outcome.UNKNOWN,
         retry_after=2,
     )
 
 
 def release_key(state, key, request):
-    """Give a key back whose call was certainly not run."""
+    """Release a key whose call was certainly not run."""
     with state.lock:
         for host in get_holders(key, _get_members(state)):
             if host == state.host:
@@ -114,7 +119,7 @@
 
 
 def handle_claim(state, peer, message):
-    """Record another router's claim and answer."""
+    """Record another router's claim and send the answer."""
     answer = state.keys.claim(message.key, message.request, state.clock())
     _send(
         state,
@@ -127,7 +132,7 @@
 
 
 def handle_answer(state, peer, message):
-    """Take in a holder's answer to a claim of ours."""
+    """Record a holder's answer to a claim of this router."""
     pending = state.key_claims.get((message.key, message.request))
     if pending is None:
         return
@@ -138,24 +143,28 @@
 
 
 def handle_release(state, peer, message):
-    """Forget a claim that another router gives back."""
+    """Delete a claim that another router releases."""
     state.keys.release(message.key, message.request)
 
 
 def handle_query(state, peer, message):
-    """Tell a router that started empty which claims are recorded here."""
+    """Send the claims recorded here to a router that has just started."""
     rows = state.keys.get_rows(state.clock())
     _send(state, peer.host, KeyRows, rows=rows)
 
 
 def handle_rows(state, peer, message):
-    """Take in what another holder has recorded."""
+    """Merge the claims that another holder has recorded."""
     state.keys.merge(message.rows, state.clock())
     state.key_row_sources.add(peer.host)
 
 
 def update_keys(state):
-    """Once an interval: expire claims, and learn the others' after a start."""
+    """Expire old claims; after a start, request the claims of the live peers.
+
+    Called once per digest interval. The table is complete when all live peers have
+    sent their claims, or when no live peer has been found in time.
+    """
     state.keys.expire(state.clock())
     if state.keys.complete:
         return
@@ -166,7 +175,7 @@
     ]
     for host in missing:
         _send(state, host, KeyQuery)
-    # A router that hears nobody for a while has nobody to learn from.
+    # Without a live peer within the timeout there are no claims to request.
     timeout_s = _NO_PEERS_TIMEOUT_S if _get_members(state) != {state.host} else 0.0
     timed_out = state.clock() - state.started_at > timeout_s
     if not missing and (state.key_row_sources or timed_out):
@@ -175,7 +184,7 @@
 
 
 def _rank_holders(state, key):
-    """Return the key's holders, those first that will answer soonest."""
+    """Return the key's holders: this router first, then live peers, then the others."""
     live = {peer.host for peer in state.peers.get_live()}
     holders = get_holders(key, _get_members(state))
     return sorted(holders, key=lambda h: (h != state.host, h not in live, h))
@@ -191,7 +200,7 @@
 
 
 def _get_members(state):
-    """Return all hosts of the fleet, reachable or not."""
+    """Return all hosts of the fleet, including unreachable ones."""
     return {state.host, *state.peers.members}
 
 
--- a/packages/valeweir_router/src/valeweir_router/endings.py
+++ b/packages/valeweir_router/src/valeweir_router/endings.py
@@ -1,4 +1,4 @@
-"""Whether a failed request goes out again, and what its caller is told."""
+"""Outcomes of requests: retries, responses to failures and their counts."""
 
 from loguru import logger
 from valeweir import metrics
@@ -12,7 +12,7 @@
 
 
 def may_retry(state, admitted, failure, attempt):
-    """Return whether the request goes out once more, and take its repeat."""
+    """Return whether to retry the request; if so, use up part of the retry budget."""
     if admitted.reply.started or attempt >= MAX_ATTEMPTS:
         return False
     if failure.fault in _CALLER_FAULTS:
@@ -24,29 +24,29 @@
 
 
 def make_refusal(admitted, failure):
-    """Return the `Refusal` that tells the caller what became of its request."""
+    """Return the `Refusal` to send to the caller after a failed exchange."""
     not_run = failure.fault in _NOT_SENT_FAULTS
     if not_run:
         return Refusal(
             502,
             "upstream-unreachable",
             f"no upstream could be reached: {failure.text}",
-            "come back after the time in Retry-After",
+            "retry after the time in Retry-After",
             retry_after=2,
         )
     status = 504 if failure.fault is Fault.LATE else 502
-    advice = "send it again" if admitted.repeatable else "ask the service what it did"
+    advice = "retry" if admitted.repeatable else "check its outcome with the service"
     return Refusal(
         status,
         f"upstream-{failure.fault.value}",
-        f"the request was sent but no whole answer came: {failure.text}",
+        f"the request was sent but no complete response was received: {failure.text}",
         advice,
         outcome=Outcome.UNKNOWN,
     )
 
 
 def refuse(admitted, refusal):
-    """Answer a request that was not served, unless its answer has begun."""
+    """Send a refusal, unless part of a response has been sent already."""
     pool = admitted.ticket.pool
     count_outcome(pool, refusal.outcome, refusal.code)
     logger.bind(
@@ -64,7 +64,7 @@
 
 
 def count_outcome(pool, outcome, code):
-    """Count how a request ended."""
+    """Count a request by its outcome and, if refused, by the refusal's code."""
     metrics.requests.labels(pool, outcome.value).inc()
     if code:
         metrics.refusals.labels(code).inc()
--- a/packages/valeweir_router/src/valeweir_router/entering.py
+++ b/packages/valeweir_router/src/valeweir_router/entering.py
@@ -1,4 +1,4 @@
-"""Taking a caller's request in: account, limits, pool, ticket."""
+"""Admission of callers' requests: authentication, limits, pool and ticket."""
 
 from valeweir.models import OUTCOME_HEADER, REQUEST_ID_HEADER, Outcome, Refusal
 from valeweir_callers.demands import get_bearer, parse_demand
@@ -10,7 +10,7 @@
 
 
 class AdmittedRequest:
-    """What a session needs to know of one request."""
+    """A request that has been admitted, with its reply and ticket."""
 
     __slots__ = ("demand", "repeatable", "reply", "request", "ticket")
 
@@ -23,7 +23,11 @@
 
 
 def admit(state, request, reply, request_id):
-    """Return a `Served` that counts as in flight, a `Refusal`, or None if done."""
+    """Admit a request.
+
+    Returns an `AdmittedRequest`, which counts as in flight, or a `Refusal`, or None
+    if the response has already been sent.
+    """
     with state.lock:
         account = state.accounts_by_hash.get(get_bearer(request.headers))
         ready = state.config_known
@@ -68,7 +72,7 @@
             429,
             exceeded_limit,
             f"the limit {exceeded_limit} is reached for {account}",
-            "come back after the time in Retry-After",
+            "retry after the time in Retry-After",
             retry_after=get_retry_after(waiting, 1.0, state.rng),
         )
     now = state.clock()
@@ -89,7 +93,7 @@
 
 
 def _find_pool(state, demand):
-    """Return the pool's name, or a `Refusal` where nothing serves it."""
+    """Return the pool's name, or a `Refusal` if no upstream serves it."""
     name = demand.pool
     model = state.configuration.get("models", name) if demand.is_model else None
     if model is not None:
@@ -101,7 +105,7 @@
             404,
             "unknown-pool",
             f"there is no {kind} pool {demand.pool!r}",
-            "see /v1/models, or ask the operators",
+            "see /v1/models or contact the operators",
         )
     return name
 
@@ -117,7 +121,7 @@
     return Refusal(
         503,
         "not-ready",
-        "this router takes no requests now",
+        "this router accepts no requests at present",
         "send the request to another router",
         retry_after=1,
     )
--- a/packages/valeweir_router/src/valeweir_router/exchanging.py
+++ b/packages/valeweir_router/src/valeweir_router/exchanging.py
@@ -1,4 +1,4 @@
-"""One exchange with an upstream: the send, the answer passed on, its cost."""
+"""One exchange with an upstream: sending, forwarding the response, its cost."""
 
 import time
 
@@ -24,7 +24,7 @@
 
 
 class CostProgress:
-    """Cost of a model call as its answer comes in."""
+    """Cost of a model call, updated while its response arrives."""
 
     def __init__(self, state, admitted):
         sharing = state.cfg["sharing"]
@@ -36,7 +36,7 @@
         self.cost = 0.0
 
     def count_events(self, count):
-        """Count streamed events, one token each until usage tells better."""
+        """Count streamed events as one token each, until the usage is received."""
         self.cost += count * self._output_weight
         self._unsettled += count
         if self._unsettled >= _SETTLE_EVENT_COUNT:
@@ -45,7 +45,7 @@
                 scheduler.settle_progress(self._state, self._ticket, self.cost)
 
     def set_usage(self, usage):
-        """Take the engine's own count of tokens."""
+        """Replace the cost by that of the engine's token counts."""
         if usage is not None:
             self.cost = (
                 usage.prompt_tokens * self._prompt_weight
@@ -54,17 +54,17 @@
 
 
 def exchange_once(state, connections, admitted, progress):
-    """Send the request and pass its answer on; return None or a `Failure`."""
+    """Send the request and forward the response; return None or a `Failure`."""
     ticket = admitted.ticket
     if not _is_lease_valid(state, ticket):
-        return Failure(Fault.LAPSED, "the lease lapsed before sending")
+        return Failure(Fault.LAPSED, "the lease lapsed before the request was sent")
     address = ticket.placement.address
     exchange = open_exchange(connections, address, fresh=not admitted.repeatable)
     if isinstance(exchange, Failure):
         return exchange
     if not _is_lease_valid(state, ticket):
         exchange.close()
-        return Failure(Fault.LAPSED, "the lease lapsed before sending")
+        return Failure(Fault.LAPSED, "the lease lapsed before the request was sent")
     call = _prepare_call(state, admitted)
     failure = exchange.send(call) or exchange.wait(call, admitted.reply.is_gone)
     if failure is not None:
@@ -74,7 +74,7 @@
         return head
     if head.status in _RETRIED_STATUSES and admitted.repeatable:
         exchange.close()
-        return Failure(Fault.AMBIGUOUS, f"upstream answered {head.status}")
+        return Failure(Fault.AMBIGUOUS, f"upstream returned status {head.status}")
     if head.is_stream:
         return _forward_stream(admitted, exchange, head, progress)
     return _forward_unary(admitted, exchange, head, progress)
@@ -91,13 +91,13 @@
     try:
         admitted.reply.send(head.status, headers, body)
     except OSError:
-        # The caller left after its request was done; nothing to repeat.
+        # The caller disconnected after the request was processed: no retry is needed.
         admitted.reply.close()
     return None
 
 
 def _forward_stream(admitted, exchange, head, progress):
-    """Pass events on as they come; until the first, a retry is possible."""
+    """Forward events as they arrive; a retry is possible until the first one."""
     meter = StreamMeter()
     reply = admitted.reply
     for part in exchange.read_parts():
@@ -110,10 +110,12 @@
             reply.write(part)
         except OSError:
             exchange.close()
-            return Failure(Fault.GONE, "caller hung up")
+            return Failure(Fault.GONE, "caller closed the connection")
         progress.count_events(event_count)
     if not meter.ended:
-        return _abort_stream(reply, Failure(Fault.CUT, "stream without end mark"))
+        return _abort_stream(
+            reply, Failure(Fault.CUT, "stream ended without its end marker")
+        )
     progress.set_usage(meter.usage)
     return None
 
@@ -157,7 +159,7 @@
 
 
 def record_health(state, upstream, failure, admitted):
-    """Take in what an exchange tells about its upstream."""
+    """Update the health and the prefix hint of an upstream after an exchange."""
     if failure is None:
         if state.health.note_success(upstream):
             metrics.ejected.labels(upstream).set(0)
--- a/packages/valeweir_router/src/valeweir_router/sessions.py
+++ b/packages/valeweir_router/src/valeweir_router/sessions.py
@@ -1,4 +1,4 @@
-"""The way of one request, from the caller to an upstream and back."""
+"""Handler of callers' requests: admission, queueing, attempts and response."""
 
 import itertools
 import secrets
@@ -17,13 +17,13 @@
 
 
 def create_handler(state, connections):
-    """Return the function that serves callers' requests."""
+    """Return the function that handles callers' requests."""
     numbers = itertools.count(1)
     prefix = f"{state.host}-{secrets.token_hex(4)}"
 
     def handle(request, reply):
         if state.leaving:
-            # The caller's next request should reach a router that stays.
+            # The caller's next connection should reach a router that is not stopping.
             reply.close()
         request_id = f"{prefix}-{next(numbers)}"
         result = admit(state, request, reply, request_id)
@@ -44,7 +44,10 @@
 
 
 def _serve_at_most_once(state, connections, admitted):
-    """Serve a request; one with a key only if the key is its own."""
+    """Serve a request, and claim its idempotency key first.
+
+    Repeatable requests and those without a key need no claim.
+    """
     key_text = admitted.request.headers.get(IDEMPOTENCY_HEADER)
     if admitted.repeatable or not key_text:
         _serve(state, connections, admitted)
@@ -61,7 +64,7 @@
 
 
 def _serve(state, connections, admitted):
-    """Queue, send and answer a request; return its `Outcome`."""
+    """Queue a request, send it and respond to the caller; return its `Outcome`."""
     ticket = admitted.ticket
     with state.lock:
         scheduler.submit(state, ticket)
@@ -81,11 +84,11 @@
         with state.lock:
             ticket.excluded_upstreams.add(ticket.placement.upstream)
             scheduler.resubmit(state, ticket)
-    raise AssertionError("the last attempt may not be retried")
+    raise AssertionError("a failure of the last attempt cannot be retried")
 
 
 def _wait_for_slot(state, admitted):
-    """Wait until the ticket has a slot; return None, or why it got none."""
+    """Wait until the ticket has a slot; return None, or a `Refusal` without one."""
     ticket = admitted.ticket
     while True:
         remaining_s = ticket.deadline - state.clock()
@@ -98,22 +101,24 @@
             continue
         with state.lock:
             if not scheduler.withdraw(state, ticket):
-                # A slot came in this very moment; use it or let it go.
+                # A slot was assigned in the meantime; the attempt uses or releases it.
                 ticket.slot_signal.acquire()
                 return None
         if caller_gone:
-            return Refusal(499, "caller-gone", "the caller hung up", "none")
+            return Refusal(
+                499, "caller-gone", "the caller closed the connection", "none"
+            )
         return Refusal(
             504,
             "deadline",
             "no slot was free before the deadline",
-            "come back later, or allow more time",
+            "retry later or set a later deadline",
             retry_after=get_retry_after(state.occupancy.waiting, 10.0, state.rng),
         )
 
 
 def _attempt(state, connections, admitted):
-    """Send the request once; return None when answered, or the `Failure`."""
+    """Send the request once; return None on a complete response, or the `Failure`."""
     ticket = admitted.ticket
     started = state.clock()
     progress = CostProgress(state, admitted)
