--- a/packages/valeweir_router/src/valeweir_router/__init__.py
+++ b/packages/valeweir_router/src/valeweir_router/__init__.py
@@ -1,1 +1,1 @@
-"""The router daemon: the peers put together around the sharing decisions."""
+"""The router daemon: connects callers, upstreams and peers to the sharing rules."""
--- a/packages/valeweir_router/src/valeweir_router/admin.py
+++ b/packages/valeweir_router/src/valeweir_router/admin.py
@@ -1,4 +1,4 @@
-"""The admin port: health, metrics, the resource API, the fleet's status."""
+"""Handler of the admin port: health, metrics, resource API and fleet status."""
 
 from prometheus_client import generate_latest
 from valeweir import metrics
@@ -9,7 +9,7 @@
 
 
 def create_admin_handler(state, submit):
-    """Return the function that serves the admin port."""
+    """Return the function that handles requests to the admin port."""
     api = Api(
         configuration=state.configuration,
         lock=state.lock,
@@ -35,7 +35,7 @@
 
 
 def update_gauges(state):
-    """Set the gauges that are read off the state."""
+    """Set the gauges of queues and held slots from the state."""
     with state.lock:
         for pool, queue in state.queues.items():
             metrics.waiting.labels(pool).set(queue.size)
--- a/packages/valeweir_router/src/valeweir_router/dispatching.py
+++ b/packages/valeweir_router/src/valeweir_router/dispatching.py
@@ -1,6 +1,6 @@
-"""Using slots: from the queue to a leased slot.
+"""Dispatch of queued requests to free leased slots.
 
-Every function expects the state's lock to be held.
+The caller of any function must hold the state's lock.
 """
 
 from loguru import logger
@@ -11,7 +11,7 @@
 
 
 def dispatch(state, pool):
-    """Give free slots to waiting tickets, in order, while there are both."""
+    """Assign free slots to waiting tickets in queue order until either runs out."""
     queue = state.get_queue(pool)
     now = state.clock()
     while queue.size:
@@ -32,7 +32,7 @@
 
 
 def get_candidates(state, pool, now):
-    """Return the upstreams of a pool where a free slot may be used now."""
+    """Return the upstreams of a pool that have a usable free slot now."""
     candidates = []
     for name in state.pools.get(pool, ()):
         held = state.holder.held.get(name)
@@ -48,7 +48,7 @@
 
 
 def merge_grants(state, owner, grants):
-    """Take in grants of another router, and use them."""
+    """Apply an owner's grants and dispatch requests to the slots gained."""
     pools = set()
     for grant in grants:
         gained = state.holder.merge_grant(owner, grant)
@@ -61,7 +61,7 @@
 
 
 def record_free_slots(state, upstream):
-    """Remember the fewest free slots seen since the last digest."""
+    """Update the minimum of an upstream's free slots since the last digest."""
     held = state.holder.held[upstream]
     state.min_free_slots[upstream] = min(
         state.min_free_slots.get(upstream, 0), held.free
@@ -69,7 +69,7 @@
 
 
 def deduct_announced(state, pool, account):
-    """Note that one request which the owners knew of waits no more."""
+    """Deduct one request from the waiting counts last sent to the owners."""
     announced = state.announced_waiting.get(pool)
     if announced and announced.get(account):
         announced[account] -= 1
--- a/packages/valeweir_router/src/valeweir_router/gossip.py
+++ b/packages/valeweir_router/src/valeweir_router/gossip.py
@@ -1,6 +1,7 @@
-"""Messages of the other routers: digests once an interval, and the rest.
+"""Control plane: periodic tasks and the messages between routers.
 
-Every function expects the state's lock to be held.
+Once per digest interval each router sends a digest to every other router. Other
+messages are sent when needed. The caller of any function must hold the state's lock.
 """
 
 import msgspec
@@ -33,7 +34,7 @@
 
 
 def tick(state):
-    """Do what is due once an interval: liveness, leases, digests."""
+    """Run the tasks of one digest interval: liveness, leases, grants and digests."""
     owning.renew_epochs_after_pause(state)
     holding.drop_lapsed(state)
     update_liveness(state)
@@ -43,7 +44,7 @@
     for pool in state.pools:
         state.ledger.clamp(pool, _get_clamp(state, pool))
         granting.grant_slots(state, pool)
-        # An upstream may have come to the end of its pause.
+        # The pause of an ejected upstream may have ended.
         dispatching.dispatch(state, pool)
     granting.grant_idle_slots(state)
     state.ledger.clear_pending("predicted")
@@ -53,7 +54,7 @@
 
 
 def update_liveness(state):
-    """Note routers that came or went, and move ownership accordingly."""
+    """Update which peers are live, and the ownership if any of them changed."""
     changes = state.peers.get_changes(state.clock())
     for change in changes:
         state.ledger.set_live(change.peer.source, change.live)
@@ -70,7 +71,11 @@
 
 
 def send_digests(state):
-    """Send every known router its digest."""
+    """Send a digest to every known router.
+
+    Digests contain the figures changed since the last one. A router that is not
+    live yet gets all figures, and so does every router at regular intervals.
+    """
     state.digest_count += 1
     is_whole_due = state.digest_count % _DIGESTS_PER_WHOLE_DIGEST == 1
     changed_reports = get_reports(state, False)
@@ -92,7 +97,7 @@
 
 
 def get_reports(state, whole):
-    """Return a `PoolReport` per pool, of all keys or of those that changed."""
+    """Return a `PoolReport` per pool, with all keys if ``whole``, else changed ones."""
     ledger = state.ledger
     keys = list(ledger.own) if whole else list(ledger.dirty)
     by_pool = {}
@@ -114,7 +119,7 @@
 
 
 def handle(state, message):
-    """Take in one message of another router."""
+    """Process one message of another router; drop it if it is a replay."""
     peer = state.peers.note(message, state.clock())
     if peer is None:
         metrics.control_dropped.labels("replayed").inc()
@@ -221,7 +226,7 @@
 
 
 def apply_configuration(state):
-    """Put a new configuration in force here."""
+    """Apply the current configuration to upstreams, ownership and held slots."""
     previous_names = set(state.upstreams)
     state.apply_configuration()
     owning.update_ownership(state)
@@ -235,7 +240,10 @@
 
 
 def set_members(state, hosts):
-    """Take in the platform's membership list."""
+    """Replace the members by the platform's list.
+
+    Routers in the settings that the list does not contain stay members.
+    """
     members = [
         Member(h.host, h.domain, h.address, h.state == "leaving")
         for h in hosts
@@ -248,7 +256,7 @@
 
 
 def get_seeds(state):
-    """Return the routers that the settings name."""
+    """Return the routers listed in the settings."""
     return [Member(**seed) for seed in state.cfg["fleet"]["seeds"]]
 
 
--- a/packages/valeweir_router/src/valeweir_router/granting.py
+++ b/packages/valeweir_router/src/valeweir_router/granting.py
@@ -1,6 +1,6 @@
-"""Who gets the free slots of the upstreams that this router owns.
+"""Grants of free slots on the upstreams that this router owns.
 
-Every function expects the state's lock to be held.
+The caller of any function must hold the state's lock.
 """
 
 from valeweir_fleet.messages import Offer
@@ -14,7 +14,11 @@
 
 
 def grant_slots(state, pool):
-    """Grant the free slots of the upstreams we own in a pool."""
+    """Grant the free slots of a pool's upstreams to routers with waiting requests.
+
+    Only upstreams that this router owns count. If none of their slots is free,
+    idle ones are recalled.
+    """
     now = state.clock()
     free = _get_free(state, pool, now)
     if not free:
@@ -34,7 +38,7 @@
 
 
 def recall_idle_slots(state, pool):
-    """Ask holders for slots that lie idle while others wait."""
+    """Ask holders to return idle slots if requests wait, at a limited rate."""
     now = state.clock()
     if now - state.last_recall_at.get(pool, 0.0) < _MIN_RECALL_INTERVAL_S:
         return
@@ -51,7 +55,10 @@
 
 
 def grant_idle_slots(state):
-    """Spread what nobody waits for as small floats."""
+    """Grant free slots in advance, for pools without waiting requests.
+
+    Each router gets at most ``float_slots`` idle slots per pool.
+    """
     limit = state.cfg["sharing"]["float_slots"]
     now = state.clock()
     for pool, names in state.pools.items():
@@ -70,7 +77,7 @@
 
 
 def apply_assignments(state, assignments, now):
-    """Enter gifts in the tables and tell the holders."""
+    """Record assignments in the lease tables and send the grants to the holders."""
     grants = {}
     for assignment in assignments:
         state.tables[assignment.upstream].grant(assignment.holder, 1, now)
@@ -128,7 +135,11 @@
 
 
 def _find_starved_holders(state, pool, holders, now):
-    """Return holders with work and no slot of ours, for too long or leaving."""
+    """Return the holders with waiting requests that must get a slot first.
+
+    These have no slot of a pool's upstreams owned here, and have had none for
+    `_STARVATION_S` or are leaving.
+    """
     tables = [state.tables[name] for name in state.owned.get(pool, ())]
     starved = set()
     for holder in holders:
@@ -154,7 +165,7 @@
 
 
 def send_offer(state, holder, grants, recall=()):
-    """Tell a holder of its grants, and of slots that are wanted back."""
+    """Send a holder its grants and the upstreams whose idle slots are recalled."""
     peer = state.peers.by_source.get(holder)
     if peer is None:
         return
--- a/packages/valeweir_router/src/valeweir_router/holding.py
+++ b/packages/valeweir_router/src/valeweir_router/holding.py
@@ -1,6 +1,6 @@
-"""The holder's side of slots: what this router asks for and gives back.
+"""Slots that this router holds: requests for slots, returns and lease renewal.
 
-Every function expects the state's lock to be held.
+The caller of any function must hold the state's lock.
 """
 
 from loguru import logger
@@ -15,10 +15,11 @@
 
 
 def request_slots(state, pool, account):
-    """Ask the owners of a pool for slots, at most once in `ASK_GAP`.
+    """Ask the owners of a pool for slots, at most once in `MIN_ASK_INTERVAL_S`.
 
-    Nothing is asked while the owners know of requests of this account that
-    wait here: they count on it for the next free slot anyway.
+    No message is sent while the last report to the owners contains waiting
+    requests of this account: the owners already consider the account for the
+    next free slot.
     """
     now = state.clock()
     granting.grant_slots(state, pool)
@@ -31,7 +32,10 @@
 
 
 def send_ask(state, pool, owners, upstreams=()):
-    """Tell owners what waits here; claims of ``upstreams`` go along."""
+    """Send the waiting counts of ``pool`` and claims on ``upstreams`` to owners.
+
+    Each owner receives only the claims that concern it.
+    """
     now = state.clock()
     state.last_ask_at[pool] = now
     state.pools_with_due_ask.discard(pool)
@@ -63,7 +67,7 @@
 
 
 def hand_back(state, upstream, count):
-    """Return free slots to their owner, which grants them anew at once."""
+    """Return up to ``count`` free slots to the owner, which can grant them at once."""
     if not _can_return(state, upstream):
         return
     returned_count = state.holder.return_slots(upstream, count)
@@ -80,7 +84,11 @@
 
 
 def return_idle_slots(state):
-    """Hand back slots that others can use, or that have long lain idle."""
+    """Return free slots that other routers can use or that were not needed.
+
+    A pool with requests waiting elsewhere returns all its free slots. Other pools
+    keep ``float_slots`` and return only slots that were free since the last call.
+    """
     for pool, names in state.pools.items():
         queue = state.get_queue(pool)
         demand_elsewhere = state.ledger.elsewhere.get(pool)
@@ -103,7 +111,7 @@
 
 
 def handle_recall(state, upstreams):
-    """Hand back what lies idle here of upstreams whose owner asks."""
+    """Return the free slots of ``upstreams``, which their owner has recalled."""
     for name in upstreams:
         up = state.upstreams.get(name)
         held = state.holder.held.get(name)
@@ -119,22 +127,22 @@
 
 
 def renew_own_leases(state):
-    """Extend the leases that this router holds of itself."""
+    """Extend the leases of upstreams that this router owns itself."""
     state.holder.renew_leases(state.source, state.clock())
 
 
 def drop_lapsed(state):
-    """Stop using leases whose owner has not answered in time."""
+    """Stop using the slots of leases that their owner has not renewed in time."""
     for upstream in state.holder.drop_lapsed(state.clock()):
         metrics.lease_lapses.inc()
         logger.bind(upstream=upstream).warning("lease lapsed")
 
 
 def _add_predicted_service(state, pool, count):
-    """Assume that returned slots go to the least-served account elsewhere.
+    """Add pending service for returned slots to the least-served account elsewhere.
 
-    Until the next report this keeps one hungry account from drawing every
-    slot that frees in the meantime.
+    Otherwise every slot that becomes free before the next report would be
+    returned for that same account.
     """
     for _ in range(count):
         least_served = state.ledger.get_least_served_elsewhere(pool)
@@ -151,10 +159,11 @@
 
 
 def _can_return(state, upstream):
-    """Return whether the owner is there to take slots back.
+    """Return whether the owner is reachable, so that slots can be returned to it.
 
-    What is handed to an owner that has died is idle until its tenure is
-    settled anew; so a short silence is enough to keep slots in use here.
+    Slots returned to a failed owner are idle until the next owner's recovery
+    ends. So slots stay in use here as soon as the owner has been silent for a
+    few digest intervals, before it counts as gone.
     """
     owner = state.owners.get(upstream)
     if owner == state.source:
--- a/packages/valeweir_router/src/valeweir_router/main.py
+++ b/packages/valeweir_router/src/valeweir_router/main.py
@@ -1,4 +1,4 @@
-"""The router daemon's command line."""
+"""Command line of the router daemon."""
 
 import signal
 import sys
@@ -21,10 +21,10 @@
 @click.argument("settings", type=click.Path(dir_okay=False))
 @click.version_option(__version__, prog_name="valeweird")
 def main(settings):
-    """Run one router with the SETTINGS file until it is told to stop.
+    """Run one router with the SETTINGS file until SIGTERM or SIGINT.
 
-    SIGTERM or SIGINT starts a planned stop; a second one ends it at once.
-    Exit codes: 0 nothing was cut, 1 requests were cut, 2 bad settings.
+    The first signal starts a graceful stop; a second one ends its waits.
+    Exit codes: 0 no request was cut off, 1 requests were cut off, 2 invalid settings.
     """
     try:
         cfg = load_settings(settings)
@@ -33,7 +33,7 @@
             click.echo(f"{exc.path}: {fault}", err=True)
         sys.exit(_EXIT_BAD_SETTINGS)
     prepare_logs(cfg["log"]["form"], cfg["log"]["level"])
-    # Thousands of callers may wait, each in a thread of its own.
+    # Thousands of callers may wait, each in its own thread, so stacks are small.
     threading.stack_size(_THREAD_STACK_BYTES)
     router = create_router(cfg)
     stop_requested = threading.Event()
--- a/packages/valeweir_router/src/valeweir_router/owning.py
+++ b/packages/valeweir_router/src/valeweir_router/owning.py
@@ -1,6 +1,8 @@
-"""The owner's side of slots: tenures and tables.
+"""Ownership of upstreams: choice of owners, lease tables and their epochs.
 
-Every function expects the state's lock to be held.
+The owner of an upstream leases the upstream's slots to routers. Each upstream has
+one owner at a time, chosen from the live routers. The caller of any function must
+hold the state's lock.
 """
 
 import collections
@@ -17,7 +19,10 @@
 
 
 def renew_epochs_after_pause(state):
-    """Start tenures anew after a pause in which others may have taken over."""
+    """Start new epochs if the process was paused for longer than a lease.
+
+    Other routers may have become owners during the pause.
+    """
     now = state.clock()
     paused = now - state.last_tick > state.holder.lease_time
     state.last_tick = now
@@ -31,7 +36,7 @@
 
 
 def update_ownership(state):
-    """Recompute who owns what from the routers that are live now."""
+    """Recompute the owners of all upstreams from the routers that are live now."""
     if state.cfg["sharing"]["mode"] == "static":
         _assign_static(state)
         return
@@ -44,7 +49,10 @@
 
 
 def merge_claims(state, holder, claims):
-    """Take in what a holder says of upstreams we own; return pools to plan."""
+    """Apply a holder's claims on upstreams that this router owns.
+
+    Returns the pools of these upstreams; their slots may have become free.
+    """
     now = state.clock()
     pools = set()
     grants = []
@@ -64,7 +72,7 @@
 
 
 def adopt_handover(state, handover):
-    """Use the last owner's table, now or once the upstream is ours."""
+    """Adopt the previous owner's table, now or when this router becomes the owner."""
     now = state.clock()
     state.handovers[handover.upstream] = (now, handover)
     if handover.upstream in state.tables:
@@ -73,7 +81,7 @@
 
 
 def expire_leases(state):
-    """Take back the slots of holders that are gone."""
+    """Free the slots of holders without a recent claim."""
     now = state.clock()
     for table in state.tables.values():
         if state.source in table.entries:
@@ -83,10 +91,11 @@
 
 
 def get_claim_targets(state, upstream):
-    """Return the incarnations to tell of our slots: lessor and owner by now.
+    """Return the incarnations that need this router's claim on ``upstream``.
 
-    The lessor may have lost its ownership: while it answers us our lease
-    runs, so it has to know that we hold it.
+    These are the current owner and the owner that granted the lease. The latter
+    may have lost the ownership, but while it echoes this router's send times the
+    lease stays valid, so its table has to count these slots.
     """
     targets = {state.owners.get(upstream)}
     held = state.holder.held.get(upstream)
@@ -97,7 +106,10 @@
 
 
 def _choose_owners(state, sources, members):
-    """Return {upstream: incarnation of its owner}; one choice for each group."""
+    """Return {upstream: incarnation of its owner}.
+
+    All upstreams of a group have the same owner.
+    """
     sizes = collections.Counter((u.pool, u.domain) for u in state.upstreams.values())
     chosen = {}
     owners = {}
@@ -113,7 +125,7 @@
 
 
 def _get_member_sources(state):
-    """Return {host: (incarnation, domain)} of routers that may own."""
+    """Return {host: (incarnation, domain)} of the routers that may be owners."""
     sources = {}
     if not state.leaving:
         sources[state.host] = (state.source, state.domain)
@@ -147,7 +159,7 @@
 
 
 def _hand_over(state, table, now):
-    """Tell the next owner who holds what, so that it need not wait."""
+    """Send the table to the next owner, which can then grant slots without a wait."""
     peer = state.peers.by_source.get(state.owners.get(table.upstream))
     if peer is None:
         return
@@ -168,7 +180,7 @@
         return
     held = state.holder.held.get(upstream)
     if held is not None and held.epoch > handover.epoch:
-        # Another owner came after the one that sends this.
+        # The sender is not the last owner: a later epoch has granted slots here.
         return
     table = state.tables[upstream]
     ready_at = received_at + handover.wait
@@ -183,14 +195,17 @@
 
 
 def _raise_epoch(state, table, other_epoch, now):
-    """Start a higher tenure after another owner's, if it is our turn to own."""
+    """Start an epoch above that of another owner."""
     recovery_ends_at = now + state.holder.lease_time + LEASE_MARGIN_S
     table.renew(max(other_epoch + 1, int(time.time())), recovery_ends_at)
     logger.bind(upstream=table.upstream, epoch=table.epoch).warning("epoch raised")
 
 
 def _assign_static(state):
-    """Split every upstream's slots evenly over the routers of the settings."""
+    """Split each upstream's slots evenly among the routers in the settings.
+
+    Slots that remain after the division go to different routers per upstream.
+    """
     seeds = state.cfg["fleet"]["seeds"]
     hosts = sorted({s["host"] for s in seeds} | {state.host})
     index = hosts.index(state.host)
--- a/packages/valeweir_router/src/valeweir_router/router.py
+++ b/packages/valeweir_router/src/valeweir_router/router.py
@@ -1,4 +1,4 @@
-"""One router: its parts made, started and stopped."""
+"""Construction, start and stop of a router."""
 
 import threading
 import time
@@ -27,7 +27,7 @@
 
 
 class Router:
-    """A running router: its state and what has to be stopped."""
+    """A router with its servers, timers and configuration follower."""
 
     def __init__(
         self, state, caller_server, admin_server, timers, follower, membership
@@ -41,7 +41,7 @@
         self.stopped = threading.Event()
 
     def start(self):
-        """Start every thread; returns at once."""
+        """Start all threads and return."""
         cfg = self.state.cfg
         self.state.links.start(self._handle)
         self.admin_server.start_threads()
@@ -66,7 +66,11 @@
         logger.bind(source=self.state.source).info("started")
 
     def stop(self):
-        """Leave as planned: hand over, finish what is here, then end."""
+        """Stop gracefully and return the number of requests cut off.
+
+        The router hands over its tables, waits for the load balancers and then for
+        running requests, up to the limit in the settings.
+        """
         state = self.state
         stop = state.cfg["stop"]
         with state.lock:
@@ -85,7 +89,7 @@
         return cut_count
 
     def abort_stop_waits(self):
-        """Cut a planned stop's waits short."""
+        """End the waits of a graceful stop at once."""
         self.stopped.set()
 
     def _wait(self, deadline, is_done):
@@ -97,7 +101,7 @@
         self.stopped.set()
         self.timers.stop()
         with self.state.lock:
-            # What was served since the last digest counts for the accounts.
+            # The service since the last digest has to count for the accounts.
             gossip.send_digests(self.state)
         self.caller_server.stop()
         self.admin_server.stop()
@@ -123,7 +127,7 @@
                 holding.send_ask(self.state, pool, owners)
 
     def _check_snapshot(self):
-        """Write a snapshot when one is due and this router is chosen to."""
+        """Write a log snapshot if one is due and this router is chosen for it."""
         due = self.follower.get_records_since_snapshot() >= _SNAPSHOT_INTERVAL_RECORDS
         state = self.state
         with state.lock:
@@ -143,7 +147,7 @@
 
 
 def create_router(cfg):
-    """Return a `Router` for checked settings, its ports bound."""
+    """Return a `Router` for validated settings, with its ports bound."""
     state = RouterState(cfg, _make_source(cfg["host"]))
     fleet = cfg["fleet"]
     state.links = Links(fleet["address"], _get_curve_keys(fleet))
@@ -202,7 +206,7 @@
 
 
 def _make_source(host):
-    """Return a new incarnation's name; a later start has a higher number."""
+    """Return the name of a new incarnation; its number grows with the start time."""
     number = time.time_ns() // 1_000_000
     digits = ""
     while number:
--- a/packages/valeweir_router/src/valeweir_router/scheduler.py
+++ b/packages/valeweir_router/src/valeweir_router/scheduler.py
@@ -1,6 +1,6 @@
-"""A request's stations: queued, withdrawn, running, ended.
+"""Scheduling of requests: queueing, withdrawal, cost settlement, slot release.
 
-Every function expects the state's lock to be held.
+The caller of any function must hold the state's lock.
 """
 
 from valeweir import metrics
@@ -11,19 +11,19 @@
 
 
 def submit(state, ticket):
-    """Queue a ticket; it is dispatched now if a slot is free."""
+    """Queue a ticket and dispatch it at once if a slot is free."""
     ticket.weight = state.get_weight(ticket.pool, ticket.account)
     _queue(state, ticket, state.get_queue(ticket.pool).add)
 
 
 def resubmit(state, ticket):
-    """Queue a ticket again, ahead of its class, after a failed attempt."""
+    """Queue a ticket at the head of its class after a failed attempt."""
     ticket.placement = None
     _queue(state, ticket, state.get_queue(ticket.pool).add_first)
 
 
 def withdraw(state, ticket):
-    """Take a ticket out of the queue; False where it has a slot by now."""
+    """Remove a ticket from the queue; return False if it already has a slot."""
     if not state.get_queue(ticket.pool).remove(ticket):
         return False
     state.ledger.add_waiting(ticket.key, -1)
@@ -31,7 +31,7 @@
 
 
 def settle_progress(state, ticket, cost):
-    """Settle the part of a running request's cost that is known by now."""
+    """Settle the cost that a running request has incurred so far."""
     total = cost / ticket.weight
     delta = total - ticket.settled
     if delta <= 0:
@@ -42,12 +42,12 @@
 
 
 def finish(state, ticket, cost, is_complete):
-    """End a ticket's use of its slot, at its real cost.
+    """Release a ticket's slot and settle the measured cost.
 
     Parameters
     ----------
     learn : bool
-        Whether the cost is that of a whole answer.
+        Whether the response was complete, so that its cost updates the estimates.
     """
     upstream = ticket.placement.upstream
     open_charge = max(0.0, ticket.charge - ticket.settled)
@@ -61,7 +61,7 @@
 
 
 def free_slot(state, pool, upstream):
-    """Use a freed slot here, or hand it back where it serves the fleet better."""
+    """Use a freed slot here, or return it if a less-served account waits elsewhere."""
     held = state.holder.held.get(upstream)
     if held is None or held.free <= 0:
         return
@@ -70,7 +70,7 @@
         holding.hand_back(state, upstream, held.free)
         return
     if state.leaving and state.get_queue(pool).size:
-        # What is still here must end before the process does.
+        # Requests that are queued here must finish before the process stops.
         dispatching.dispatch(state, pool)
         return
     local_least = get_least_service(state.get_queue(pool), state.ledger, pool)
--- a/packages/valeweir_router/src/valeweir_router/states.py
+++ b/packages/valeweir_router/src/valeweir_router/states.py
@@ -1,4 +1,4 @@
-"""All that one router knows; one lock guards it."""
+"""The state of one router, guarded by a single lock."""
 
 import random
 import threading
@@ -21,7 +21,7 @@
 
 
 class Upstream(NamedTuple):
-    """An upstream in force."""
+    """An upstream of the current configuration."""
 
     name: str
     pool: str
@@ -35,10 +35,16 @@
 
 
 class Ticket:
-    """One request from its arrival to its end.
+    """One request, from its arrival to its end.
 
-    ``estimate`` is the expected cost and ``charge`` the same per weight;
-    ``settled`` is the cost already settled while the answer streams.
+    Attributes
+    ----------
+    charge : float
+        Expected cost per weight.
+    settled : float
+        Cost per weight already settled while the response is streamed.
+    slot_signal : threading.Lock
+        Released when the ticket gets a slot.
     """
 
     __slots__ = (
@@ -80,7 +86,7 @@
 
     @property
     def key(self):
-        """The ledger's key."""
+        """The key of this request in the ledger."""
         return ServiceKey(self.pool, self.account)
 
 
@@ -90,12 +96,22 @@
     Attributes
     ----------
     source : str
-        This incarnation, ``HOST#NUMBER``.
+        Name of this incarnation, ``HOST#NUMBER``.
     upstreams : dict of str to Upstream
     pools : dict of str to list of upstream names
     owners : dict of upstream to the incarnation that leases out its slots
-    tables : dict of upstream to Table, for those this router owns
-    owned : dict of pool to list of those upstreams
+    tables : dict of upstream to its lease table, for upstreams owned here
+    owned : dict of pool to list of the upstreams owned here
+    announced_waiting : dict of pool to {account: requests}
+        Waiting requests in the last report to the owners, less those dispatched since.
+    pools_with_due_ask : set of pools
+        An `Ask` is due as soon as the minimum interval has passed.
+    min_free_slots : dict of upstream to the fewest free slots since the last digest
+    last_slot_at : dict of (holder, pool) to the time it last had a slot of an owned
+        upstream
+    fully_reported : set of incarnations that have sent a whole digest
+    key_row_sources : set of hosts that have sent their recorded key claims
+    key_claims : dict of (key, request) to the claim in progress
     """
 
     def __init__(self, cfg, source, clock=get_lease_time, seed=None):
@@ -167,7 +183,7 @@
         return queue
 
     def get_weight(self, pool, account):
-        """Return the account's share weight in a pool."""
+        """Return the account's weight in a pool; 1 without a share."""
         specific = self.weights.get(f"{account}.{pool}")
         return specific or self.weights.get(account, 1.0)
 
@@ -176,17 +192,17 @@
         return self.weights.get(account, 1.0) / self.weight_sum
 
     def get_slack(self, pool):
-        """Return the hand-back slack in cost per weight."""
+        """Return the hand-back slack of a pool in cost per weight."""
         slack = self.cfg["sharing"]["slack"] * self.digest_interval.pressure
         return slack * self.ledger.get_mean_charge(pool)
 
     def next_seq(self):
-        """Return the number of the next message sent."""
+        """Return the sequence number for the next message to send."""
         self.seq += 1
         return self.seq
 
     def apply_configuration(self):
-        """Rebuild what is derived from the configuration in force."""
+        """Recompute the attributes derived from the current configuration."""
         resources = self.configuration.resources
         self.upstreams = {r.name: _make_upstream(r) for r in _serving(resources)}
         self.pools = {}
--- a/packages/valeweir_router/src/valeweir_router/views.py
+++ b/packages/valeweir_router/src/valeweir_router/views.py
@@ -1,10 +1,10 @@
-"""The state as operators see it."""
+"""Status of resources and of the fleet, for the operators' API."""
 
 from valeweir_sharing.usage import ServiceKey
 
 
 def get_resource_status(state, res):
-    """Return the status of a resource: where it is in force, who lags."""
+    """Return the status of a resource and the routers where it is not in force yet."""
     members = get_offsets(state)
     lagging = sorted(h for h, offset in members.items() if offset <= res.version)
     status = {
@@ -20,14 +20,14 @@
 
 
 def get_offsets(state):
-    """Return {host: configuration offset} of the live routers and this one."""
+    """Return {host: configuration offset} of this router and the live ones."""
     offsets = {p.host: p.config_offset for p in state.peers.get_live()}
     offsets[state.host] = state.configuration.offset
     return offsets
 
 
 def get_fleet_status(state):
-    """Return what this router knows of the fleet, for people and tools."""
+    """Return the fleet's routers, upstreams and accounts as this router sees them."""
     with state.lock:
         return {
             "host": state.host,
