--- a/packages/valeweir_router/src/valeweir_router/dispatching.py
+++ b/packages/valeweir_router/src/valeweir_router/dispatching.py
@@ -77,8 +77,8 @@
 
 def _start(state, queue, ticket, choice, now):
     queue.remove(ticket)
-    cost = state.estimates.get(ticket.pool, ticket.account, ticket.work_class)
-    ticket.charge = cost / ticket.weight
+    estimate = state.estimates.get(ticket.pool, ticket.account, ticket.work_class)
+    ticket.charge = estimate / ticket.weight
     ticket.settled = 0.0
     ticket.dispatched_at = now
     state.ledger.add_waiting(ticket.key, -1)
--- a/packages/valeweir_router/src/valeweir_router/endings.py
+++ b/packages/valeweir_router/src/valeweir_router/endings.py
@@ -25,8 +25,8 @@
 
 def make_refusal(admitted, failure):
     """Return the `Refusal` to send to the caller after a failed exchange."""
-    not_run = failure.fault in _NOT_SENT_FAULTS
-    if not_run:
+    is_not_sent = failure.fault in _NOT_SENT_FAULTS
+    if is_not_sent:
         return Refusal(
             502,
             "upstream-unreachable",
--- a/packages/valeweir_router/src/valeweir_router/router.py
+++ b/packages/valeweir_router/src/valeweir_router/router.py
@@ -128,13 +128,15 @@
 
     def _check_snapshot(self):
         """Write a log snapshot if one is due and this router is chosen for it."""
-        due = self.follower.get_records_since_snapshot() >= _SNAPSHOT_INTERVAL_RECORDS
+        is_due = (
+            self.follower.get_records_since_snapshot() >= _SNAPSHOT_INTERVAL_RECORDS
+        )
         state = self.state
         with state.lock:
             state.config_gap = self.follower.gap
             hosts = [state.host, *(p.host for p in state.peers.get_live())]
-            chosen = choose_owner("snapshot", hosts) == state.host
-        if due and chosen and not self.follower.gap and not state.leaving:
+            is_chosen = choose_owner("snapshot", hosts) == state.host
+        if is_due and is_chosen and not self.follower.gap and not state.leaving:
             self.follower.write_snapshot()
 
     def _read_members(self):
--- a/packages/valeweir_router/src/valeweir_router/scheduler.py
+++ b/packages/valeweir_router/src/valeweir_router/scheduler.py
@@ -74,8 +74,8 @@
         dispatching.dispatch(state, pool)
         return
     local_least = get_least_service(state.get_queue(pool), state.ledger, pool)
-    least_elsewhere = state.ledger.get_least_served_elsewhere(pool)
-    elsewhere_least = least_elsewhere[0] if least_elsewhere else None
+    least_served = state.ledger.get_least_served_elsewhere(pool)
+    elsewhere_least = least_served[0] if least_served else None
     if should_hand_back(local_least, elsewhere_least, state.get_slack(pool)):
         holding.hand_back(state, upstream, 1)
     dispatching.dispatch(state, pool)
--- a/packages/valeweir_router/src/valeweir_router/sessions.py
+++ b/packages/valeweir_router/src/valeweir_router/sessions.py
@@ -120,13 +120,13 @@
 def _attempt(state, connections, admitted):
     """Send the request once; return None on a complete response, or the `Failure`."""
     ticket = admitted.ticket
-    started = state.clock()
+    started_at = state.clock()
     progress = CostProgress(state, admitted)
     failure = exchange_once(state, connections, admitted, progress)
-    elapsed = state.clock() - started
+    elapsed_s = state.clock() - started_at
     upstream = ticket.placement.upstream
-    metrics.upstream_seconds.labels(ticket.pool).observe(elapsed)
-    cost = progress.cost if admitted.demand.is_model else elapsed * 1000.0
+    metrics.upstream_seconds.labels(ticket.pool).observe(elapsed_s)
+    cost = progress.cost if admitted.demand.is_model else elapsed_s * 1000.0
     with state.lock:
         record_health(state, upstream, failure, admitted)
         scheduler.finish(state, ticket, cost, is_complete=failure is None)
--- a/packages/valeweir_router/src/valeweir_router/states.py
+++ b/packages/valeweir_router/src/valeweir_router/states.py
@@ -204,7 +204,9 @@
     def apply_configuration(self):
         """Recompute the attributes derived from the current configuration."""
         resources = self.configuration.resources
-        self.upstreams = {r.name: _make_upstream(r) for r in _serving(resources)}
+        self.upstreams = {
+            r.name: _make_upstream(r) for r in _get_upstream_resources(resources)
+        }
         self.pools = {}
         for up in self.upstreams.values():
             self.pools.setdefault(up.pool, []).append(up.name)
@@ -222,7 +224,7 @@
         metrics.config_offset.set(self.configuration.offset)
 
 
-def _serving(resources):
+def _get_upstream_resources(resources):
     return sorted(resources["upstreams"].values(), key=lambda r: r.name)
 
 
