--- a/packages/valeweir_router/src/valeweir_router/gossip.py
+++ b/packages/valeweir_router/src/valeweir_router/gossip.py
@@ -28,7 +28,7 @@
 from valeweir_fleet.peers import Member
 from valeweir_sharing.usage import Report, ServiceKey
 
-from . import claims, dispatching, granting, histories, holding, owning
+from . import dispatching, granting, histories, holding, key_claims, owning
 
 _DIGESTS_PER_WHOLE_DIGEST = 20
 
@@ -48,7 +48,7 @@
         dispatching.dispatch(state, pool)
     granting.grant_idle_slots(state)
     state.ledger.clear_pending("predicted")
-    claims.update_keys(state)
+    key_claims.update_keys(state)
     histories.update_history(state)
     send_digests(state)
 
@@ -217,11 +217,11 @@
     ViewAnswer: _handle_view_answer,
     HistoryQuery: _handle_history_query,
     History: _handle_history,
-    KeyClaim: claims.handle_claim,
-    KeyAnswer: claims.handle_answer,
-    KeyRelease: claims.handle_release,
-    KeyQuery: claims.handle_query,
-    KeyRows: claims.handle_rows,
+    KeyClaim: key_claims.handle_claim,
+    KeyAnswer: key_claims.handle_answer,
+    KeyRelease: key_claims.handle_release,
+    KeyQuery: key_claims.handle_query,
+    KeyRows: key_claims.handle_rows,
 }
 
 
--- a/packages/valeweir_router/src/valeweir_router/sessions.py
+++ b/packages/valeweir_router/src/valeweir_router/sessions.py
@@ -8,7 +8,7 @@
 from valeweir_callers.demands import send_refusal
 from valeweir_sharing.limits import get_retry_after
 
-from . import claims, scheduler
+from . import key_claims, scheduler
 from .endings import MAX_ATTEMPTS, count_outcome, make_refusal, may_retry, refuse
 from .entering import admit
 from .exchanging import CostProgress, exchange_once, record_health
@@ -53,14 +53,14 @@
         _serve(state, connections, admitted)
         return
     ticket = admitted.ticket
-    key = claims.make_key(ticket.account, ticket.pool, key_text)
-    number = claims.make_request_number(ticket.id)
-    refusal = claims.claim_key(state, key, number)
+    key = key_claims.make_key(ticket.account, ticket.pool, key_text)
+    number = key_claims.make_request_number(ticket.id)
+    refusal = key_claims.claim_key(state, key, number)
     if refusal is not None:
         refuse(admitted, refusal)
         return
     if _serve(state, connections, admitted) is Outcome.NOT_RUN:
-        claims.release_key(state, key, number)
+        key_claims.release_key(state, key, number)
 
 
 def _serve(state, connections, admitted):
