--- a/packages/valeweir_router/src/valeweir_router/holding.py
+++ b/packages/valeweir_router/src/valeweir_router/holding.py
@@ -163,7 +163,7 @@
 
     Slots returned to a failed owner are idle until the next owner's recovery
     ends. So slots stay in use here as soon as the owner has been silent for a
-    few digest intervals, before it counts as gone.
+    few digest intervals, while it still counts as live.
     """
     owner = state.owners.get(upstream)
     if owner == state.source:
--- a/packages/valeweir_router/src/valeweir_router/key_claims.py
+++ b/packages/valeweir_router/src/valeweir_router/key_claims.py
@@ -69,8 +69,8 @@
     """Claim a key for a request; return None, or the `Refusal` to send.
 
     A majority of the holders is asked first, the others only if its answers do not
-    decide the claim. Any two majorities have a common holder, so two claims of the
-    same key cannot both succeed.
+    decide the claim. Any two majorities have a common holder, whichever holders they
+    consist of, so two claims of the same key cannot both succeed.
     """
     with state.lock:
         pending = PendingClaim(_rank_holders(state, key))
@@ -184,7 +184,10 @@
 
 
 def _rank_holders(state, key):
-    """Return the key's holders: this router first, then live peers, then the others."""
+    """Return the key's holders, ordered by how soon an answer is expected.
+
+    This router comes first, then live peers, then the other hosts.
+    """
     live = {peer.host for peer in state.peers.get_live()}
     holders = get_holders(key, _get_members(state))
     return sorted(holders, key=lambda h: (h != state.host, h not in live, h))
--- a/packages/valeweir_router/src/valeweir_router/scheduler.py
+++ b/packages/valeweir_router/src/valeweir_router/scheduler.py
@@ -46,7 +46,7 @@
 
     Parameters
     ----------
-    learn : bool
+    is_complete : bool
         Whether the response was complete, so that its cost updates the estimates.
     """
     upstream = ticket.placement.upstream
