--- a/packages/valeweir_router/src/valeweir_router/dispatching.py
+++ b/packages/valeweir_router/src/valeweir_router/dispatching.py
@@ -39,11 +39,13 @@
         if held is None or held.free <= 0:
             continue
         up = state.upstreams[name]
-        usable = state.health.is_usable(name, now)
-        if up.leaving or not usable or not state.holder.is_valid(name, now):
+        is_usable = state.health.is_usable(name, now)
+        if up.leaving or not is_usable or not state.holder.is_valid(name, now):
             continue
-        local = up.domain == state.domain
-        candidates.append(Candidate(name, state.loads.get(name, 0.0), local, held.free))
+        is_local = up.domain == state.domain
+        candidates.append(
+            Candidate(name, state.loads.get(name, 0.0), is_local, held.free)
+        )
     return candidates
 
 
--- a/packages/valeweir_router/src/valeweir_router/owning.py
+++ b/packages/valeweir_router/src/valeweir_router/owning.py
@@ -24,8 +24,8 @@
     Other routers may have become owners during the pause.
     """
     now = state.clock()
-    paused = now - state.last_tick > state.holder.lease_time
-    state.last_tick = now
+    paused = now - state.last_tick_at > state.holder.lease_time
+    state.last_tick_at = now
     if not paused:
         return
     recovery_ends_at = now + state.holder.lease_time + LEASE_MARGIN_S
--- a/packages/valeweir_router/src/valeweir_router/states.py
+++ b/packages/valeweir_router/src/valeweir_router/states.py
@@ -140,7 +140,7 @@
         self.owners = {}
         self.owned = {}
         self.handovers = {}
-        self.last_tick = clock()
+        self.last_tick_at = clock()
         self.last_ask_at = {}
         self.last_recall_at = {}
         self.last_slot_at = {}
