--- a/packages/valeweir_router/src/valeweir_router/admin.py
+++ b/packages/valeweir_router/src/valeweir_router/admin.py
@@ -1,21 +1,21 @@
-"""The admin port: health, metrics, the resource API, the fleet's status."""
+"""Handler of the admin port: health, metrics, resource API and fleet status."""
 
 from prometheus_client import generate_latest
 from valeweir import metrics
 from valeweir_operators.api import Api
 from valeweir_operators.api import handle as handle_api
 
-from .views import get_fleet_view, get_resource_status
+from .views import get_fleet_status, get_resource_status
 
 
 def create_admin_handler(state, submit):
-    """Return the function that serves the admin port."""
+    """Return the function that handles requests to the admin port."""
     api = Api(
         configuration=state.configuration,
         lock=state.lock,
         submit=submit,
         get_status=lambda res: get_resource_status(state, res),
-        get_fleet=lambda: get_fleet_view(state),
+        get_fleet=lambda: get_fleet_status(state),
         root_hash=state.cfg["admin"].get("operator_key_sha256", ""),
     )
 
@@ -35,7 +35,7 @@
 
 
 def update_gauges(state):
-    """Set the gauges that are read off the state."""
+    """Set the gauges of queues and held slots from the state."""
     with state.lock:
         for pool, queue in state.queues.items():
             metrics.waiting.labels(pool).set(queue.size)
--- a/packages/valeweir_router/src/valeweir_router/dispatching.py
+++ b/packages/valeweir_router/src/valeweir_router/dispatching.py
@@ -1,6 +1,6 @@
-"""Using slots: from the queue to a leased slot.
+"""Dispatch of queued requests to free leased slots.
 
-Every function expects the state's lock to be held.
+The caller of any function must hold the state's lock.
 """
 
 from loguru import logger
@@ -11,40 +11,46 @@
 
 
 def dispatch(state, pool):
-    """Give free slots to waiting tickets, in order, while there are both."""
+    """Assign free slots to waiting tickets in queue order until either runs out."""
     queue = state.get_queue(pool)
     now = state.clock()
     while queue.size:
         candidates = get_candidates(state, pool, now)
         if not candidates:
             return
-        ticket = choose_ticket(queue, state.ledger, pool, now, state.order)
-        open_to = [c for c in candidates if c.upstream not in ticket.excluded]
-        choice = choose_upstream(open_to or candidates, ticket.prefix, state.hints, now)
+        ticket = choose_ticket(queue, state.ledger, pool, now, state.queue_order)
+        eligible = [
+            c for c in candidates if c.upstream not in ticket.excluded_upstreams
+        ]
+        choice = choose_upstream(
+            eligible or candidates, ticket.prefix, state.hints, now
+        )
         if not state.holder.take(choice.upstream, now):
             return
-        note_idle(state, choice.upstream)
+        record_free_slots(state, choice.upstream)
         _start(state, queue, ticket, choice, now)
 
 
 def get_candidates(state, pool, now):
-    """Return the upstreams of a pool where a free slot may be used now."""
+    """Return the upstreams of a pool that have a usable free slot now."""
     candidates = []
     for name in state.pools.get(pool, ()):
         held = state.holder.held.get(name)
         if held is None or held.free <= 0:
             continue
         up = state.upstreams[name]
-        usable = state.health.is_usable(name, now)
-        if up.leaving or not usable or not state.holder.is_valid(name, now):
+        is_usable = state.health.is_usable(name, now)
+        if up.leaving or not is_usable or not state.holder.is_valid(name, now):
             continue
-        local = up.domain == state.domain
-        candidates.append(Candidate(name, state.loads.get(name, 0.0), local, held.free))
+        is_local = up.domain == state.domain
+        candidates.append(
+            Candidate(name, state.loads.get(name, 0.0), is_local, held.free)
+        )
     return candidates
 
 
 def merge_grants(state, owner, grants):
-    """Take in grants of another router, and use them."""
+    """Apply an owner's grants and dispatch requests to the slots gained."""
     pools = set()
     for grant in grants:
         gained = state.holder.merge_grant(owner, grant)
@@ -56,27 +62,29 @@
         dispatch(state, pool)
 
 
-def note_idle(state, upstream):
-    """Remember the fewest free slots seen since the last digest."""
+def record_free_slots(state, upstream):
+    """Update the minimum of an upstream's free slots since the last digest."""
     held = state.holder.held[upstream]
-    state.idle_low[upstream] = min(state.idle_low.get(upstream, 0), held.free)
+    state.min_free_slots[upstream] = min(
+        state.min_free_slots.get(upstream, 0), held.free
+    )
 
 
-def note_served(state, pool, account):
-    """Note that one request which the owners knew of waits no more."""
-    told = state.told.get(pool)
-    if told and told.get(account):
-        told[account] -= 1
+def deduct_announced(state, pool, account):
+    """Deduct one request from the waiting counts last sent to the owners."""
+    announced = state.announced_waiting.get(pool)
+    if announced and announced.get(account):
+        announced[account] -= 1
 
 
 def _start(state, queue, ticket, choice, now):
     queue.remove(ticket)
-    cost = state.estimates.get(ticket.pool, ticket.account, ticket.work_class)
-    ticket.charge = cost / ticket.weight
+    estimate = state.estimates.get(ticket.pool, ticket.account, ticket.work_class)
+    ticket.charge = estimate / ticket.weight
     ticket.settled = 0.0
-    ticket.dispatched = now
+    ticket.dispatched_at = now
     state.ledger.add_waiting(ticket.key, -1)
-    note_served(state, ticket.pool, ticket.account)
+    deduct_announced(state, ticket.pool, ticket.account)
     state.ledger.charge(ticket.key, ticket.charge)
     state.ledger.add_pending_at_peers(ticket.key, ticket.charge)
     state.health.record_dispatch(choice.upstream)
@@ -92,4 +100,4 @@
         why=choice.reason,
         waited=round(waited, 4),
     ).info("routed")
-    ticket.gate.release()
+    ticket.slot_signal.release()
--- a/packages/valeweir_router/src/valeweir_router/endings.py
+++ b/packages/valeweir_router/src/valeweir_router/endings.py
@@ -1,4 +1,4 @@
-"""Whether a failed request goes out again, and what its caller is told."""
+"""Outcomes of requests: retries, responses to failures and their counts."""
 
 from loguru import logger
 from valeweir import metrics
@@ -7,64 +7,64 @@
 from valeweir_upstreams.exchanges import Fault
 
 MAX_ATTEMPTS = 4
-_UNSENT = (Fault.NOT_SENT, Fault.LAPSED)
-_CALLERS_DOING = (Fault.GONE, Fault.LATE)
+_NOT_SENT_FAULTS = (Fault.NOT_SENT, Fault.LAPSED)
+_CALLER_FAULTS = (Fault.GONE, Fault.LATE)
 
 
-def may_retry(state, served, failure, attempt):
-    """Return whether the request goes out once more, and take its repeat."""
-    if served.reply.started or attempt >= MAX_ATTEMPTS:
+def may_retry(state, admitted, failure, attempt):
+    """Return whether to retry the request; if so, use up part of the retry budget."""
+    if admitted.reply.started or attempt >= MAX_ATTEMPTS:
         return False
-    if failure.fault in _CALLERS_DOING:
+    if failure.fault in _CALLER_FAULTS:
         return False
-    if failure.fault not in _UNSENT and not served.repeatable:
+    if failure.fault not in _NOT_SENT_FAULTS and not admitted.repeatable:
         return False
     with state.lock:
-        return state.retries.spend(served.ticket.account)
+        return state.retry_budget.spend(admitted.ticket.account)
 
 
-def explain(served, failure):
-    """Return the `Refusal` that tells the caller what became of its request."""
-    not_run = failure.fault in _UNSENT
-    if not_run:
+def make_refusal(admitted, failure):
+    """Return the `Refusal` to send to the caller after a failed exchange."""
+    is_not_sent = failure.fault in _NOT_SENT_FAULTS
+    if is_not_sent:
         return Refusal(
             502,
             "upstream-unreachable",
             f"no upstream could be reached: {failure.text}",
-            "come back after the time in Retry-After",
+            "retry after the time in Retry-After",
             retry_after=2,
         )
     status = 504 if failure.fault is Fault.LATE else 502
-    advice = "send it again" if served.repeatable else "ask the service what it did"
+    advice = "retry" if admitted.repeatable else "check its outcome with the service"
     return Refusal(
         status,
         f"upstream-{failure.fault.value}",
-        f"the request was sent but no whole answer came: {failure.text}",
+        f"the request was sent but no complete response was received: {failure.text}",
         advice,
         outcome=Outcome.UNKNOWN,
     )
 
 
-def end(served, refusal):
-    """Answer a request that was not served, unless its answer has begun."""
-    pool = served.ticket.pool
-    note_end(pool, refusal.outcome, refusal.code)
+def refuse(admitted, refusal):
+    """Send a refusal, unless part of a response has been sent already."""
+    pool = admitted.ticket.pool
+    count_outcome(pool, refusal.outcome, refusal.code)
     logger.bind(
-        request=served.ticket.id,
-        account=served.ticket.account,
+        request=admitted.ticket.id,
+        account=admitted.ticket.account,
         outcome=refusal.outcome.value,
         code=refusal.code,
     ).info("not served")
-    if served.reply.started:
+    if admitted.reply.started:
         return
     try:
-        send_refusal(served.reply, refusal, served.ticket.id)
+        send_refusal(admitted.reply, refusal, admitted.ticket.id)
     except OSError:
-        served.reply.close()
+        admitted.reply.close()
 
 
-def note_end(pool, outcome, code):
-    """Count how a request ended."""
+def count_outcome(pool, outcome, code):
+    """Count a request by its outcome and, if refused, by the refusal's code."""
     metrics.requests.labels(pool, outcome.value).inc()
     if code:
         metrics.refusals.labels(code).inc()
--- a/packages/valeweir_router/src/valeweir_router/entering.py
+++ b/packages/valeweir_router/src/valeweir_router/entering.py
@@ -1,4 +1,4 @@
-"""Taking a caller's request in: account, limits, pool, ticket."""
+"""Admission of callers' requests: authentication, limits, pool and ticket."""
 
 from valeweir.models import OUTCOME_HEADER, REQUEST_ID_HEADER, Outcome, Refusal
 from valeweir_callers.demands import get_bearer, parse_demand
@@ -9,8 +9,8 @@
 _SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS"))
 
 
-class Served:
-    """What a session needs to know of one request."""
+class AdmittedRequest:
+    """A request that has been admitted, with its reply and ticket."""
 
     __slots__ = ("demand", "repeatable", "reply", "request", "ticket")
 
@@ -23,12 +23,16 @@
 
 
 def admit(state, request, reply, request_id):
-    """Return a `Served` that counts as in flight, a `Refusal`, or None if done."""
+    """Admit a request.
+
+    Returns an `AdmittedRequest`, which counts as in flight, or a `Refusal`, or None
+    if the response has already been sent.
+    """
     with state.lock:
         account = state.accounts_by_hash.get(get_bearer(request.headers))
         ready = state.config_known
     if not ready:
-        return _refuse_unready()
+        return _make_not_ready_refusal()
     if account is None:
         return Refusal(
             401,
@@ -43,27 +47,32 @@
     if isinstance(demand, Refusal):
         return demand
     with state.lock:
-        return _enter(state, request, reply, request_id, account, demand)
+        return _admit_demand(state, request, reply, request_id, account, demand)
 
 
-def _enter(state, request, reply, request_id, account, demand):
+def _admit_demand(state, request, reply, request_id, account, demand):
     pool = _find_pool(state, demand)
     if isinstance(pool, Refusal):
         return pool
     if state.refusing:
-        return _refuse_unready()
-    part = state.get_part(account)
-    size = len(request.body)
-    excess = find_exceeded_limit(
-        state.limits, state.occupancy, account, part, demand.work_class, size
+        return _make_not_ready_refusal()
+    weight_ratio = state.get_weight_ratio(account)
+    body_size = len(request.body)
+    exceeded_limit = find_exceeded_limit(
+        state.limits,
+        state.occupancy,
+        account,
+        weight_ratio,
+        demand.work_class,
+        body_size,
     )
-    if excess is not None:
+    if exceeded_limit is not None:
         waiting = state.occupancy.get(account)[0]
         return Refusal(
             429,
-            excess,
-            f"the limit {excess} is reached for {account}",
-            "come back after the time in Retry-After",
+            exceeded_limit,
+            f"the limit {exceeded_limit} is reached for {account}",
+            "retry after the time in Retry-After",
             retry_after=get_retry_after(waiting, 1.0, state.rng),
         )
     now = state.clock()
@@ -73,18 +82,18 @@
         demand.work_class,
         now,
         now + demand.deadline,
-        size,
+        body_size,
         demand.prefix,
     )
     state.inflight += 1
-    state.occupancy.add(account, size)
-    state.retries.earn(account)
+    state.occupancy.add(account, body_size)
+    state.retry_budget.earn(account)
     repeatable = _is_repeatable(state, pool, demand, request.method)
-    return Served(request, reply, demand, ticket, repeatable)
+    return AdmittedRequest(request, reply, demand, ticket, repeatable)
 
 
 def _find_pool(state, demand):
-    """Return the pool's name, or a `Refusal` where nothing serves it."""
+    """Return the pool's name, or a `Refusal` if no upstream serves it."""
     name = demand.pool
     model = state.configuration.get("models", name) if demand.is_model else None
     if model is not None:
@@ -96,7 +105,7 @@
             404,
             "unknown-pool",
             f"there is no {kind} pool {demand.pool!r}",
-            "see /v1/models, or ask the operators",
+            "see /v1/models or contact the operators",
         )
     return name
 
@@ -108,11 +117,11 @@
     return all(method in up.repeatable for up in ups)
 
 
-def _refuse_unready():
+def _make_not_ready_refusal():
     return Refusal(
         503,
         "not-ready",
-        "this router takes no requests now",
+        "this router accepts no requests at present",
         "send the request to another router",
         retry_after=1,
     )
--- a/packages/valeweir_router/src/valeweir_router/gossip.py
+++ b/packages/valeweir_router/src/valeweir_router/gossip.py
@@ -1,6 +1,7 @@
-"""Messages of the other routers: digests once an interval, and the rest.
+"""Control plane: periodic tasks and the messages between routers.
 
-Every function expects the state's lock to be held.
+Once per digest interval each router sends a digest to every other router. Other
+messages are sent when needed. The caller of any function must hold the state's lock.
 """
 
 import msgspec
@@ -27,70 +28,76 @@
 from valeweir_fleet.peers import Member
 from valeweir_sharing.usage import Report, ServiceKey
 
-from . import claims, dispatching, granting, histories, holding, owning
+from . import dispatching, granting, histories, holding, key_claims, owning
 
-_WHOLE_EVERY = 20
+_DIGESTS_PER_WHOLE_DIGEST = 20
 
 
 def tick(state):
-    """Do what is due once an interval: liveness, leases, digests."""
-    owning.note_pause(state)
+    """Run the tasks of one digest interval: liveness, leases, grants and digests."""
+    owning.renew_epochs_after_pause(state)
     holding.drop_lapsed(state)
-    refresh_live(state)
-    holding.renew_own(state)
+    update_liveness(state)
+    holding.renew_own_leases(state)
     owning.expire_leases(state)
-    holding.give_idle(state)
+    holding.return_idle_slots(state)
     for pool in state.pools:
         state.ledger.clamp(pool, _get_clamp(state, pool))
-        granting.plan(state, pool)
-        # An upstream may have come to the end of its pause.
+        granting.grant_slots(state, pool)
+        # The pause of an ejected upstream may have ended.
         dispatching.dispatch(state, pool)
-    granting.plan_idle(state)
+    granting.grant_idle_slots(state)
     state.ledger.clear_pending("predicted")
-    claims.learn(state)
-    histories.retire_silent(state)
+    key_claims.update_keys(state)
+    histories.update_history(state)
     send_digests(state)
 
 
-def refresh_live(state):
-    """Note routers that came or went, and move ownership accordingly."""
+def update_liveness(state):
+    """Update which peers are live, and the ownership if any of them changed."""
     changes = state.peers.get_changes(state.clock())
     for change in changes:
         state.ledger.set_live(change.peer.source, change.live)
-        histories.note_liveness(state, change.peer.source, change.live)
+        histories.record_liveness(state, change.peer.source, change.live)
         logger.bind(peer=change.peer.source, live=change.live).info("peer changed")
     for peer in state.peers.replaced:
         state.ledger.retire(peer.source, state.clock())
         state.silent_since.pop(peer.source, None)
-    moved = bool(changes or state.peers.replaced)
+    has_changed = bool(changes or state.peers.replaced)
     state.peers.replaced.clear()
     metrics.live_peers.set(len(state.peers.get_live()))
-    if moved:
+    if has_changed:
         owning.update_ownership(state)
 
 
 def send_digests(state):
-    """Send every known router its digest."""
-    state.digests += 1
-    whole = state.digests % _WHOLE_EVERY == 1
-    changed = get_reports(state, False)
-    everything = None
+    """Send a digest to every known router.
+
+    Digests contain the figures changed since the last one. A router that is not
+    live yet gets all figures, and so does every router at regular intervals.
+    """
+    state.digest_count += 1
+    is_whole_due = state.digest_count % _DIGESTS_PER_WHOLE_DIGEST == 1
+    changed_reports = get_reports(state, False)
+    all_reports = None
     state.ledger.dirty.clear()
-    state.told = {pool: state.ledger.get_own_waiting(pool) for pool in state.pools}
+    state.announced_waiting = {
+        pool: state.ledger.get_own_waiting(pool) for pool in state.pools
+    }
     now = state.clock()
     by_host = state.peers.by_host
     for host, address in state.peers.get_targets(state.host).items():
         peer = by_host.get(host)
-        greet = whole or peer is None or not peer.live
-        if greet and everything is None:
-            everything = get_reports(state, True)
-        rows = everything if greet else changed
-        digest = _make_digest(state, peer, rows, greet, now)
+        is_whole = is_whole_due or peer is None or not peer.live
+        if is_whole and all_reports is None:
+            all_reports = get_reports(state, True)
+        reports = all_reports if is_whole else changed_reports
+        digest = _make_digest(state, peer, reports, is_whole, now)
         state.links.send(address, digest)
 
 
 def get_reports(state, whole):
-    """Return a `PoolReport` per pool, of all keys or of those that changed."""
+    """Return a `PoolReport` per pool, with all keys if ``whole``, else changed ones."""
     ledger = state.ledger
     keys = list(ledger.own) if whole else list(ledger.dirty)
     by_pool = {}
@@ -112,7 +119,7 @@
 
 
 def handle(state, message):
-    """Take in one message of another router."""
+    """Process one message of another router; drop it if it is a replay."""
     peer = state.peers.note(message, state.clock())
     if peer is None:
         metrics.control_dropped.labels("replayed").inc()
@@ -129,7 +136,7 @@
     peer.leaving = digest.leaving
     peer.config_offset = digest.config_offset
     state.holder.renew_leases(peer.source, digest.echo)
-    refresh_live(state)
+    update_liveness(state)
     reports = [
         (ServiceKey(pool.pool, state.account_names[number]), Report(*figures))
         for pool in digest.pools
@@ -137,14 +144,14 @@
         if number in state.account_names
     ]
     if digest.whole:
-        state.greeted.add(peer.source)
+        state.fully_reported.add(peer.source)
     fronts = [(pool.pool, pool.front) for pool in digest.pools]
     state.ledger.merge(peer.source, digest.seq, reports, fronts)
     dispatching.merge_grants(state, peer.source, digest.grants)
     pools = owning.merge_claims(state, peer.source, digest.claims)
     for pool in pools | {pool.pool for pool in digest.pools}:
-        granting.plan(state, pool)
-    _catch_up(state, peer, digest)
+        granting.grant_slots(state, pool)
+    _request_missing_state(state, peer, digest)
 
 
 def _handle_ask(state, peer, ask):
@@ -153,18 +160,18 @@
     waiting = {names[n]: count for n, count in ask.waiting.items() if n in names}
     state.ledger.merge_waiting(peer.source, ask.pool, waiting)
     owning.merge_claims(state, peer.source, ask.claims)
-    granting.plan(state, ask.pool)
+    granting.grant_slots(state, ask.pool)
 
 
 def _handle_offer(state, peer, offer):
     peer.echo = max(peer.echo, offer.echo)
     state.holder.renew_leases(peer.source, offer.echo)
     dispatching.merge_grants(state, peer.source, offer.grants)
-    holding.answer_recall(state, offer.recall)
+    holding.handle_recall(state, offer.recall)
 
 
 def _handle_handover(state, peer, handover):
-    owning.take_over(state, handover)
+    owning.adopt_handover(state, handover)
 
 
 def _handle_view_query(state, peer, query):
@@ -210,20 +217,20 @@
     ViewAnswer: _handle_view_answer,
     HistoryQuery: _handle_history_query,
     History: _handle_history,
-    KeyClaim: claims.handle_claim,
-    KeyAnswer: claims.handle_answer,
-    KeyRelease: claims.handle_release,
-    KeyQuery: claims.handle_query,
-    KeyRows: claims.handle_rows,
+    KeyClaim: key_claims.handle_claim,
+    KeyAnswer: key_claims.handle_answer,
+    KeyRelease: key_claims.handle_release,
+    KeyQuery: key_claims.handle_query,
+    KeyRows: key_claims.handle_rows,
 }
 
 
 def apply_configuration(state):
-    """Put a new configuration in force here."""
-    known = set(state.upstreams)
+    """Apply the current configuration to upstreams, ownership and held slots."""
+    previous_names = set(state.upstreams)
     state.apply_configuration()
     owning.update_ownership(state)
-    for name in known - set(state.upstreams):
+    for name in previous_names - set(state.upstreams):
         state.holder.held.pop(name, None)
     for name, up in state.upstreams.items():
         if up.leaving and name in state.holder.held:
@@ -233,24 +240,27 @@
 
 
 def set_members(state, hosts):
-    """Take in the platform's membership list."""
+    """Replace the members by the platform's list.
+
+    Routers in the settings that the list does not contain stay members.
+    """
     members = [
         Member(h.host, h.domain, h.address, h.state == "leaving")
         for h in hosts
         if h.role == "router"
     ]
-    known = {m.host for m in members}
-    seeds = [m for m in get_seeds(state) if m.host not in known]
+    known_hosts = {m.host for m in members}
+    seeds = [m for m in get_seeds(state) if m.host not in known_hosts]
     state.peers.set_members(members + seeds)
     owning.update_ownership(state)
 
 
 def get_seeds(state):
-    """Return the routers that the settings name."""
+    """Return the routers listed in the settings."""
     return [Member(**seed) for seed in state.cfg["fleet"]["seeds"]]
 
 
-def _make_digest(state, peer, pools, greet, now):
+def _make_digest(state, peer, reports, is_whole, now):
     source = peer.source if peer else None
     claims = [
         state.holder.get_claim(name, state.health.is_ejected(name, now))
@@ -269,15 +279,15 @@
         echo=peer.sent_at if peer else 0.0,
         leaving=state.leaving,
         config_offset=state.configuration.offset,
-        identity=Identity(state.domain, state.links.address) if greet else None,
-        whole=greet,
-        pools=pools,
+        identity=Identity(state.domain, state.links.address) if is_whole else None,
+        whole=is_whole,
+        pools=reports,
         claims=claims,
         grants=grants,
     )
 
 
-def _catch_up(state, peer, digest):
+def _request_missing_state(state, peer, digest):
     if not state.history_known:
         _send(state, peer, HistoryQuery)
     needed = state.config_gap or not state.config_known
@@ -285,10 +295,10 @@
         _send(state, peer, ViewQuery, offset=state.configuration.offset)
 
 
-def _send(state, peer, kind, **fields):
+def _send(state, peer, message_type, **fields):
     address = state.peers.get_address(peer)
     if address:
-        message = kind(source=state.source, seq=state.next_seq(), **fields)
+        message = message_type(source=state.source, seq=state.next_seq(), **fields)
         state.links.send(address, message)
 
 
--- a/packages/valeweir_router/src/valeweir_router/holding.py
+++ b/packages/valeweir_router/src/valeweir_router/holding.py
@@ -1,6 +1,6 @@
-"""The holder's side of slots: what this router asks for and gives back.
+"""Slots that this router holds: requests for slots, returns and lease renewal.
 
-Every function expects the state's lock to be held.
+The caller of any function must hold the state's lock.
 """
 
 from loguru import logger
@@ -10,34 +10,38 @@
 
 from . import granting, owning
 
-ASK_GAP = 0.05
-_SILENT_INTERVALS = 2.2
+MIN_ASK_INTERVAL_S = 0.05
+_MAX_SILENCE_INTERVALS = 2.2
 
 
-def want(state, pool, account):
-    """Ask the owners of a pool for slots, at most once in `ASK_GAP`.
+def request_slots(state, pool, account):
+    """Ask the owners of a pool for slots, at most once in `MIN_ASK_INTERVAL_S`.
 
-    Nothing is asked while the owners know of requests of this account that
-    wait here: they count on it for the next free slot anyway.
+    No message is sent while the last report to the owners contains waiting
+    requests of this account: the owners already consider the account for the
+    next free slot.
     """
     now = state.clock()
-    granting.plan(state, pool)
-    if state.told.get(pool, {}).get(account, 0) > 0:
+    granting.grant_slots(state, pool)
+    if state.announced_waiting.get(pool, {}).get(account, 0) > 0:
         return
-    if now - state.last_ask.get(pool, 0.0) < ASK_GAP:
-        state.ask_due.add(pool)
+    if now - state.last_ask_at.get(pool, 0.0) < MIN_ASK_INTERVAL_S:
+        state.pools_with_due_ask.add(pool)
         return
     send_ask(state, pool, get_pool_owners(state, pool))
 
 
 def send_ask(state, pool, owners, upstreams=()):
-    """Tell owners what waits here; claims of ``upstreams`` go along."""
+    """Send the waiting counts of ``pool`` and claims on ``upstreams`` to owners.
+
+    Each owner receives only the claims that concern it.
+    """
     now = state.clock()
-    state.last_ask[pool] = now
-    state.ask_due.discard(pool)
+    state.last_ask_at[pool] = now
+    state.pools_with_due_ask.discard(pool)
     waiting = state.ledger.get_own_waiting(pool)
     if set(owners) >= get_pool_owners(state, pool):
-        state.told[pool] = dict(waiting)
+        state.announced_waiting[pool] = dict(waiting)
     for source in owners:
         peer = state.peers.by_source.get(source)
         if peer is None or not peer.live:
@@ -63,47 +67,51 @@
 
 
 def hand_back(state, upstream, count):
-    """Return free slots to their owner, which grants them anew at once."""
+    """Return up to ``count`` free slots to the owner, which can grant them at once."""
     if not _can_return(state, upstream):
         return
-    given = state.holder.return_slots(upstream, count)
-    if not given:
+    returned_count = state.holder.return_slots(upstream, count)
+    if not returned_count:
         return
-    metrics.slot_moves.labels("back").inc(given)
+    metrics.slot_moves.labels("back").inc(returned_count)
     pool = state.upstreams[upstream].pool if upstream in state.upstreams else ""
-    _predict_use(state, pool, given)
+    _add_predicted_service(state, pool, returned_count)
     if state.owners.get(upstream) == state.source:
-        _claim_own(state, upstream)
-        granting.plan(state, pool)
+        _merge_own_claim(state, upstream)
+        granting.grant_slots(state, pool)
         return
     send_ask(state, pool, owning.get_claim_targets(state, upstream), [upstream])
 
 
-def give_idle(state):
-    """Hand back slots that others can use, or that have long lain idle."""
+def return_idle_slots(state):
+    """Return free slots that other routers can use or that were not needed.
+
+    A pool with requests waiting elsewhere returns all its free slots. Other pools
+    keep ``float_slots`` and return only slots that were free since the last call.
+    """
     for pool, names in state.pools.items():
         queue = state.get_queue(pool)
-        wanted = state.ledger.elsewhere.get(pool)
-        keep = 0 if wanted else state.cfg["sharing"]["float_slots"]
+        demand_elsewhere = state.ledger.elsewhere.get(pool)
+        reserve = 0 if demand_elsewhere else state.cfg["sharing"]["float_slots"]
         if queue.size:
             continue
-        spare = sum(held.free for held in _get_held(state, names)) - keep
+        surplus = sum(held.free for held in _get_held(state, names)) - reserve
         for name in sorted(names):
             held = state.holder.held.get(name)
-            if spare <= 0:
+            if surplus <= 0:
                 break
             if held is None or not held.free:
                 continue
-            idle = min(held.free, spare, state.idle_low.get(name, 0))
-            count = min(held.free, spare) if wanted else idle
+            idle_count = min(held.free, surplus, state.min_free_slots.get(name, 0))
+            count = min(held.free, surplus) if demand_elsewhere else idle_count
             if count > 0:
                 hand_back(state, name, count)
-                spare -= count
-    state.idle_low = {n: h.free for n, h in state.holder.held.items()}
+                surplus -= count
+    state.min_free_slots = {n: h.free for n, h in state.holder.held.items()}
 
 
-def answer_recall(state, upstreams):
-    """Hand back what lies idle here of upstreams whose owner asks."""
+def handle_recall(state, upstreams):
+    """Return the free slots of ``upstreams``, which their owner has recalled."""
     for name in upstreams:
         up = state.upstreams.get(name)
         held = state.holder.held.get(name)
@@ -118,30 +126,32 @@
     return owners - {None, state.source}
 
 
-def renew_own(state):
-    """Extend the leases that this router holds of itself."""
+def renew_own_leases(state):
+    """Extend the leases of upstreams that this router owns itself."""
     state.holder.renew_leases(state.source, state.clock())
 
 
 def drop_lapsed(state):
-    """Stop using leases whose owner has not answered in time."""
+    """Stop using the slots of leases that their owner has not renewed in time."""
     for upstream in state.holder.drop_lapsed(state.clock()):
         metrics.lease_lapses.inc()
         logger.bind(upstream=upstream).warning("lease lapsed")
 
 
-def _predict_use(state, pool, count):
-    """Assume that returned slots go to the least-served account elsewhere.
+def _add_predicted_service(state, pool, count):
+    """Add pending service for returned slots to the least-served account elsewhere.
 
-    Until the next report this keeps one hungry account from drawing every
-    slot that frees in the meantime.
+    Otherwise every slot that becomes free before the next report would be
+    returned for that same account.
     """
     for _ in range(count):
-        least = state.ledger.get_least_served_elsewhere(pool)
-        if least is None:
+        least_served = state.ledger.get_least_served_elsewhere(pool)
+        if least_served is None:
             return
-        unit = state.ledger.get_mean_charge(pool)
-        state.ledger.add_pending("predicted", ServiceKey(pool, least[1]), unit)
+        mean_charge = state.ledger.get_mean_charge(pool)
+        state.ledger.add_pending(
+            "predicted", ServiceKey(pool, least_served[1]), mean_charge
+        )
 
 
 def _get_held(state, names):
@@ -149,10 +159,11 @@
 
 
 def _can_return(state, upstream):
-    """Return whether the owner is there to take slots back.
+    """Return whether the owner is reachable, so that slots can be returned to it.
 
-    What is handed to an owner that has died is idle until its tenure is
-    settled anew; so a short silence is enough to keep slots in use here.
+    Slots returned to a failed owner are idle until the next owner's recovery
+    ends. So slots stay in use here as soon as the owner has been silent for a
+    few digest intervals, while it still counts as live.
     """
     owner = state.owners.get(upstream)
     if owner == state.source:
@@ -160,10 +171,13 @@
     peer = state.peers.by_source.get(owner)
     if peer is None or not peer.live:
         return False
-    return state.clock() - peer.heard < _SILENT_INTERVALS * state.pace.get_interval()
+    return (
+        state.clock() - peer.heard
+        < _MAX_SILENCE_INTERVALS * state.digest_interval.get_interval()
+    )
 
 
-def _claim_own(state, upstream):
+def _merge_own_claim(state, upstream):
     table = state.tables.get(upstream)
     if table is not None:
         claim = state.holder.get_claim(upstream)
--- a/packages/valeweir_router/src/valeweir_router/main.py
+++ b/packages/valeweir_router/src/valeweir_router/main.py
@@ -1,4 +1,4 @@
-"""The router daemon's command line."""
+"""Command line of the router daemon."""
 
 import signal
 import sys
@@ -12,43 +12,43 @@
 
 from .router import create_router
 
-_BAD_SETTINGS = 2
-_CUT = 1
-_THREAD_STACK = 256 << 10
+_EXIT_BAD_SETTINGS = 2
+_EXIT_REQUESTS_CUT = 1
+_THREAD_STACK_BYTES = 256 << 10
 
 
 @click.command()
 @click.argument("settings", type=click.Path(dir_okay=False))
 @click.version_option(__version__, prog_name="valeweird")
 def main(settings):
-    """Run one router with the SETTINGS file until it is told to stop.
+    """Run one router with the SETTINGS file until SIGTERM or SIGINT.
 
-    SIGTERM or SIGINT starts a planned stop; a second one ends it at once.
-    Exit codes: 0 nothing was cut, 1 requests were cut, 2 bad settings.
+    The first signal starts a graceful stop; a second one ends its waits.
+    Exit codes: 0 no request was cut off, 1 requests were cut off, 2 invalid settings.
     """
     try:
         cfg = load_settings(settings)
     except SettingsError as exc:
         for fault in exc.faults:
             click.echo(f"{exc.path}: {fault}", err=True)
-        sys.exit(_BAD_SETTINGS)
+        sys.exit(_EXIT_BAD_SETTINGS)
     prepare_logs(cfg["log"]["form"], cfg["log"]["level"])
-    # Thousands of callers may wait, each in a thread of its own.
-    threading.stack_size(_THREAD_STACK)
+    # Thousands of callers may wait, each in its own thread, so stacks are small.
+    threading.stack_size(_THREAD_STACK_BYTES)
     router = create_router(cfg)
-    asked = threading.Event()
+    stop_requested = threading.Event()
 
     def on_signal(_number, _frame):
-        if asked.is_set():
-            router.end_now()
-        asked.set()
+        if stop_requested.is_set():
+            router.abort_stop_waits()
+        stop_requested.set()
 
     signal.signal(signal.SIGTERM, on_signal)
     signal.signal(signal.SIGINT, on_signal)
     router.start()
-    while not asked.wait(1.0):
+    while not stop_requested.wait(1.0):
         pass
-    sys.exit(_CUT if router.stop() else 0)
+    sys.exit(_EXIT_REQUESTS_CUT if router.stop() else 0)
 
 
 if __name__ == "__main__":
--- a/packages/valeweir_router/src/valeweir_router/owning.py
+++ b/packages/valeweir_router/src/valeweir_router/owning.py
@@ -1,6 +1,8 @@
-"""The owner's side of slots: tenures and tables.
+"""Ownership of upstreams: choice of owners, lease tables and their epochs.
 
-Every function expects the state's lock to be held.
+The owner of an upstream leases the upstream's slots to routers. Each upstream has
+one owner at a time, chosen from the live routers. The caller of any function must
+hold the state's lock.
 """
 
 import collections
@@ -13,14 +15,17 @@
 from valeweir_sharing.ownership import choose_owner, get_candidates, get_group
 
 from . import dispatching
-from .granting import plan, send_offer
+from .granting import grant_slots, send_offer
 
 
-def note_pause(state):
-    """Start tenures anew after a pause in which others may have taken over."""
+def renew_epochs_after_pause(state):
+    """Start new epochs if the process was paused for longer than a lease.
+
+    Other routers may have become owners during the pause.
+    """
     now = state.clock()
-    paused = now - state.last_tick > state.holder.lease_time
-    state.last_tick = now
+    paused = now - state.last_tick_at > state.holder.lease_time
+    state.last_tick_at = now
     if not paused:
         return
     recovery_ends_at = now + state.holder.lease_time + LEASE_MARGIN_S
@@ -31,7 +36,7 @@
 
 
 def update_ownership(state):
-    """Recompute who owns what from the routers that are live now."""
+    """Recompute the owners of all upstreams from the routers that are live now."""
     if state.cfg["sharing"]["mode"] == "static":
         _assign_static(state)
         return
@@ -44,36 +49,39 @@
 
 
 def merge_claims(state, holder, claims):
-    """Take in what a holder says of upstreams we own; return pools to plan."""
+    """Apply a holder's claims on upstreams that this router owns.
+
+    Returns the pools of these upstreams; their slots may have become free.
+    """
     now = state.clock()
     pools = set()
-    answers = []
+    grants = []
     for claim in claims:
         table = state.tables.get(claim.upstream)
         if table is None:
             continue
-        rival = table.merge_claim(holder, claim, now)
-        if rival is not None:
-            _outbid(state, table, rival, now)
+        higher_epoch = table.merge_claim(holder, claim, now)
+        if higher_epoch is not None:
+            _raise_epoch(state, table, higher_epoch, now)
         elif table.entries[holder].lease != claim.lease or claim.epoch != table.epoch:
-            answers.append(table.get_grant(holder))
+            grants.append(table.get_grant(holder))
         pools.add(state.upstreams[claim.upstream].pool)
-    if answers:
-        send_offer(state, holder, answers)
+    if grants:
+        send_offer(state, holder, grants)
     return pools
 
 
-def take_over(state, handover):
-    """Use the last owner's table, now or once the upstream is ours."""
+def adopt_handover(state, handover):
+    """Adopt the previous owner's table, now or when this router becomes the owner."""
     now = state.clock()
     state.handovers[handover.upstream] = (now, handover)
     if handover.upstream in state.tables:
-        _use_handover(state, handover.upstream, now)
-        plan(state, state.upstreams[handover.upstream].pool)
+        _apply_handover(state, handover.upstream, now)
+        grant_slots(state, state.upstreams[handover.upstream].pool)
 
 
 def expire_leases(state):
-    """Take back the slots of holders that are gone."""
+    """Free the slots of holders without a recent claim."""
     now = state.clock()
     for table in state.tables.values():
         if state.source in table.entries:
@@ -83,10 +91,11 @@
 
 
 def get_claim_targets(state, upstream):
-    """Return the incarnations to tell of our slots: lessor and owner by now.
+    """Return the incarnations that need this router's claim on ``upstream``.
 
-    The lessor may have lost its ownership: while it answers us our lease
-    runs, so it has to know that we hold it.
+    These are the current owner and the owner that granted the lease. The latter
+    may have lost the ownership, but while it echoes this router's send times the
+    lease stays valid, so its table has to count these slots.
     """
     targets = {state.owners.get(upstream)}
     held = state.holder.held.get(upstream)
@@ -97,7 +106,10 @@
 
 
 def _choose_owners(state, sources, members):
-    """Return {upstream: incarnation of its owner}; one choice for each group."""
+    """Return {upstream: incarnation of its owner}.
+
+    All upstreams of a group have the same owner.
+    """
     sizes = collections.Counter((u.pool, u.domain) for u in state.upstreams.values())
     chosen = {}
     owners = {}
@@ -113,7 +125,7 @@
 
 
 def _get_member_sources(state):
-    """Return {host: (incarnation, domain)} of routers that may own."""
+    """Return {host: (incarnation, domain)} of the routers that may be owners."""
     sources = {}
     if not state.leaving:
         sources[state.host] = (state.source, state.domain)
@@ -126,14 +138,14 @@
 def _update_tables(state, now):
     recovery_ends_at = now + state.holder.lease_time + LEASE_MARGIN_S
     for name, up in state.upstreams.items():
-        mine = state.owners.get(name) == state.source
+        is_owner = state.owners.get(name) == state.source
         table = state.tables.get(name)
-        if mine and table is None:
+        if is_owner and table is None:
             epoch = _get_next_epoch(state, name)
             state.tables[name] = Table(name, up.slots, epoch, recovery_ends_at)
             logger.bind(upstream=name, epoch=epoch).info("ownership taken")
-            _use_handover(state, name, now)
-        elif mine:
+            _apply_handover(state, name, now)
+        elif is_owner:
             table.capacity = up.slots
         elif table is not None:
             del state.tables[name]
@@ -147,7 +159,7 @@
 
 
 def _hand_over(state, table, now):
-    """Tell the next owner who holds what, so that it need not wait."""
+    """Send the table to the next owner, which can then grant slots without a wait."""
     peer = state.peers.by_source.get(state.owners.get(table.upstream))
     if peer is None:
         return
@@ -162,49 +174,52 @@
     state.links.send(state.peers.get_address(peer), handover)
 
 
-def _use_handover(state, upstream, now):
-    at, handover = state.handovers.pop(upstream, (0.0, None))
-    if handover is None or now - at > state.peers.patience:
+def _apply_handover(state, upstream, now):
+    received_at, handover = state.handovers.pop(upstream, (0.0, None))
+    if handover is None or now - received_at > state.peers.patience:
         return
     held = state.holder.held.get(upstream)
     if held is not None and held.epoch > handover.epoch:
-        # Another owner came after the one that sends this.
+        # The sender is not the last owner: a later epoch has granted slots here.
         return
     table = state.tables[upstream]
-    ready_at = at + handover.wait
+    ready_at = received_at + handover.wait
     table.take_over(handover.epoch, handover.holders, ready_at, now)
     logger.bind(upstream=upstream, epoch=table.epoch).info("table taken over")
 
 
 def _get_next_epoch(state, upstream):
     held = state.holder.held.get(upstream)
-    known = held.epoch if held is not None else 0
-    return max(known + 1, int(time.time()))
+    held_epoch = held.epoch if held is not None else 0
+    return max(held_epoch + 1, int(time.time()))
 
 
-def _outbid(state, table, rival, now):
-    """Start a higher tenure after another owner's, if it is our turn to own."""
+def _raise_epoch(state, table, other_epoch, now):
+    """Start an epoch above that of another owner."""
     recovery_ends_at = now + state.holder.lease_time + LEASE_MARGIN_S
-    table.renew(max(rival + 1, int(time.time())), recovery_ends_at)
+    table.renew(max(other_epoch + 1, int(time.time())), recovery_ends_at)
     logger.bind(upstream=table.upstream, epoch=table.epoch).warning("epoch raised")
 
 
 def _assign_static(state):
-    """Split every upstream's slots evenly over the routers of the settings."""
+    """Split each upstream's slots evenly among the routers in the settings.
+
+    Slots that remain after the division go to different routers per upstream.
+    """
     seeds = state.cfg["fleet"]["seeds"]
     hosts = sorted({s["host"] for s in seeds} | {state.host})
-    place = hosts.index(state.host)
+    index = hosts.index(state.host)
     for number, up in enumerate(state.upstreams.values()):
-        slots, extra = divmod(up.slots, len(hosts))
-        mine = slots + ((place + number * extra) % len(hosts) < extra)
-        held = state.holder.held.setdefault(up.name, _make_static())
-        held.granted = mine
+        quotient, remainder = divmod(up.slots, len(hosts))
+        slot_count = quotient + ((index + number * remainder) % len(hosts) < remainder)
+        held = state.holder.held.setdefault(up.name, _make_static_lease())
+        held.granted = slot_count
     state.holder.heard["static"] = float("inf")
     for pool in state.pools:
         dispatching.dispatch(state, pool)
 
 
-def _make_static():
+def _make_static_lease():
     held = Held()
     held.owner = "static"
     held.epoch = held.lease = 1
--- a/packages/valeweir_router/src/valeweir_router/states.py
+++ b/packages/valeweir_router/src/valeweir_router/states.py
@@ -1,4 +1,4 @@
-"""All that one router knows; one lock guards it."""
+"""The state of one router, guarded by a single lock."""
 
 import random
 import threading
@@ -21,7 +21,7 @@
 
 
 class Upstream(NamedTuple):
-    """An upstream in force."""
+    """An upstream of the current configuration."""
 
     name: str
     pool: str
@@ -35,10 +35,16 @@
 
 
 class Ticket:
-    """One request from its arrival to its end.
+    """One request, from its arrival to its end.
 
-    ``estimate`` is the expected cost and ``charge`` the same per weight;
-    ``settled`` is the cost already settled while the answer streams.
+    Attributes
+    ----------
+    charge : float
+        Expected cost per weight.
+    settled : float
+        Cost per weight already settled while the response is streamed.
+    slot_signal : threading.Lock
+        Released when the ticket gets a slot.
     """
 
     __slots__ = (
@@ -46,39 +52,41 @@
         "arrived",
         "charge",
         "deadline",
-        "dispatched",
-        "excluded",
-        "gate",
+        "dispatched_at",
+        "excluded_upstreams",
+        "slot_signal",
         "id",
         "placement",
         "pool",
         "prefix",
         "settled",
-        "size",
+        "body_size",
         "weight",
         "work_class",
     )
 
-    def __init__(self, request_id, key, work_class, arrived, deadline, size, prefix):
+    def __init__(
+        self, request_id, key, work_class, arrived, deadline, body_size, prefix
+    ):
         self.id = request_id
         self.pool, self.account = key
         self.work_class = work_class
         self.arrived = arrived
         self.deadline = deadline
-        self.size = size
+        self.body_size = body_size
         self.prefix = prefix
         self.weight = 1.0
         self.charge = 0.0
         self.settled = 0.0
-        self.dispatched = 0.0
-        self.excluded = set()
+        self.dispatched_at = 0.0
+        self.excluded_upstreams = set()
         self.placement = None
-        self.gate = threading.Lock()
-        self.gate.acquire()
+        self.slot_signal = threading.Lock()
+        self.slot_signal.acquire()
 
     @property
     def key(self):
-        """The ledger's key."""
+        """The key of this request in the ledger."""
         return ServiceKey(self.pool, self.account)
 
 
@@ -88,12 +96,22 @@
     Attributes
     ----------
     source : str
-        This incarnation, ``HOST#NUMBER``.
+        Name of this incarnation, ``HOST#NUMBER``.
     upstreams : dict of str to Upstream
     pools : dict of str to list of upstream names
     owners : dict of upstream to the incarnation that leases out its slots
-    tables : dict of upstream to Table, for those this router owns
-    owned : dict of pool to list of those upstreams
+    tables : dict of upstream to its lease table, for upstreams owned here
+    owned : dict of pool to list of the upstreams owned here
+    announced_waiting : dict of pool to {account: requests}
+        Waiting requests in the last report to the owners, less those dispatched since.
+    pools_with_due_ask : set of pools
+        An `Ask` is due as soon as the minimum interval has passed.
+    min_free_slots : dict of upstream to the fewest free slots since the last digest
+    last_slot_at : dict of (holder, pool) to the time it last had a slot of an owned
+        upstream
+    fully_reported : set of incarnations that have sent a whole digest
+    key_row_sources : set of hosts that have sent their recorded key claims
+    key_claims : dict of (key, request) to the claim in progress
     """
 
     def __init__(self, cfg, source, clock=get_lease_time, seed=None):
@@ -114,7 +132,7 @@
         self.weight_sum = 1.0
         self.ledger = Ledger()
         self.ledger.complete = False
-        self.greeted = set()
+        self.fully_reported = set()
         self.estimates = CostEstimates()
         self.queues = {}
         self.holder = LeaseHolder(cfg["fleet"]["lease"])
@@ -122,36 +140,36 @@
         self.owners = {}
         self.owned = {}
         self.handovers = {}
-        self.last_tick = clock()
-        self.last_ask = {}
-        self.last_recall = {}
-        self.last_slot = {}
-        self.told = {}
-        self.ask_due = set()
-        self.idle_low = {}
+        self.last_tick_at = clock()
+        self.last_ask_at = {}
+        self.last_recall_at = {}
+        self.last_slot_at = {}
+        self.announced_waiting = {}
+        self.pools_with_due_ask = set()
+        self.min_free_slots = {}
         self.peers = Peers(cfg["fleet"]["lease"] / 2)
-        self.pace = DigestInterval(cfg["fleet"])
+        self.digest_interval = DigestInterval(cfg["fleet"])
         self.health = UpstreamHealth(self.rng)
         self.hints = PrefixHints()
         self.loads = {}
         self.occupancy = Occupancy()
-        self.retries = RetryBudget()
+        self.retry_budget = RetryBudget()
         self.inflight = 0
         self.leaving = False
         self.refusing = False
         self.config_known = False
         self.config_gap = False
-        self.started = clock()
+        self.started_at = clock()
         self.keys = KeyTable()
-        self.keys_learned = set()
-        self.claims = {}
+        self.key_row_sources = set()
+        self.key_claims = {}
         self.history_known = False
         self.silent_since = {}
-        self.digests = 0
+        self.digest_count = 0
         self.seq = 0
         self.links = None
         sharing = cfg["sharing"]
-        self.order = OrderSettings(sharing["class_bonus"], sharing["aging"])
+        self.queue_order = OrderSettings(sharing["class_bonus"], sharing["aging"])
         callers = cfg["callers"]
         self.limits = AdmissionLimits(
             callers["max_waiting"], callers["max_waiting_body"], callers["max_body"]
@@ -165,28 +183,30 @@
         return queue
 
     def get_weight(self, pool, account):
-        """Return the account's share weight in a pool."""
+        """Return the account's weight in a pool; 1 without a share."""
         specific = self.weights.get(f"{account}.{pool}")
         return specific or self.weights.get(account, 1.0)
 
-    def get_part(self, account):
+    def get_weight_ratio(self, account):
         """Return the account's weight over the sum of all weights."""
         return self.weights.get(account, 1.0) / self.weight_sum
 
     def get_slack(self, pool):
-        """Return the hand-back slack in cost per weight."""
-        slack = self.cfg["sharing"]["slack"] * self.pace.pressure
+        """Return the hand-back slack of a pool in cost per weight."""
+        slack = self.cfg["sharing"]["slack"] * self.digest_interval.pressure
         return slack * self.ledger.get_mean_charge(pool)
 
     def next_seq(self):
-        """Return the number of the next message sent."""
+        """Return the sequence number for the next message to send."""
         self.seq += 1
         return self.seq
 
     def apply_configuration(self):
-        """Rebuild what is derived from the configuration in force."""
+        """Recompute the attributes derived from the current configuration."""
         resources = self.configuration.resources
-        self.upstreams = {r.name: _make_upstream(r) for r in _serving(resources)}
+        self.upstreams = {
+            r.name: _make_upstream(r) for r in _get_upstream_resources(resources)
+        }
         self.pools = {}
         for up in self.upstreams.values():
             self.pools.setdefault(up.pool, []).append(up.name)
@@ -204,7 +224,7 @@
         metrics.config_offset.set(self.configuration.offset)
 
 
-def _serving(resources):
+def _get_upstream_resources(resources):
     return sorted(resources["upstreams"].values(), key=lambda r: r.name)
 
 
