--- a/packages/valeweir_router/src/valeweir_router/owning.py
+++ b/packages/valeweir_router/src/valeweir_router/owning.py
@@ -11,7 +11,7 @@
 from loguru import logger
 from valeweir import metrics
 from valeweir_fleet.messages import Handover
-from valeweir_sharing.leases import LEASE_MARGIN_S, Held, Table
+from valeweir_sharing.leases import LEASE_MARGIN_S, HeldSlots, LeaseTable
 from valeweir_sharing.ownership import choose_owner, get_candidates, get_group
 
 from . import dispatching
@@ -142,7 +142,7 @@
         table = state.tables.get(name)
         if is_owner and table is None:
             epoch = _get_next_epoch(state, name)
-            state.tables[name] = Table(name, up.slots, epoch, recovery_ends_at)
+            state.tables[name] = LeaseTable(name, up.slots, epoch, recovery_ends_at)
             logger.bind(upstream=name, epoch=epoch).info("ownership taken")
             _apply_handover(state, name, now)
         elif is_owner:
@@ -214,13 +214,13 @@
         slot_count = quotient + ((index + number * remainder) % len(hosts) < remainder)
         held = state.holder.held.setdefault(up.name, _make_static_lease())
         held.granted = slot_count
-    state.holder.heard["static"] = float("inf")
+    state.holder.echoed_at["static"] = float("inf")
     for pool in state.pools:
         dispatching.dispatch(state, pool)
 
 
 def _make_static_lease():
-    held = Held()
+    held = HeldSlots()
     held.owner = "static"
     held.epoch = held.lease = 1
     return held
--- a/packages/valeweir_router/src/valeweir_router/scheduler.py
+++ b/packages/valeweir_router/src/valeweir_router/scheduler.py
@@ -54,7 +54,7 @@
     unsettled_cost = max(0.0, cost / ticket.weight - ticket.settled)
     state.ledger.settle(ticket.key, open_charge, unsettled_cost)
     if is_complete:
-        state.estimates.learn(ticket.pool, ticket.account, ticket.work_class, cost)
+        state.estimates.update(ticket.pool, ticket.account, ticket.work_class, cost)
     state.holder.finish(upstream)
     metrics.service.labels(ticket.pool, ticket.account).inc(cost)
     free_slot(state, ticket.pool, upstream)
--- a/packages/valeweir_sharing/src/valeweir_sharing/estimates.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/estimates.py
@@ -21,7 +21,7 @@
                 return self._means[key]
         return _DEFAULT_COST
 
-    def learn(self, pool, account, work_class, cost):
+    def update(self, pool, account, work_class, cost):
         """Update the averages with the measured cost of one request."""
         for key in ((pool, account, work_class), (pool, work_class), (pool,)):
             mean = self._means.get(key, cost)
--- a/packages/valeweir_sharing/src/valeweir_sharing/leases.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/leases.py
@@ -37,7 +37,7 @@
     granted: int
 
 
-class Held:
+class HeldSlots:
     """The slots of one upstream that this router holds."""
 
     __slots__ = ("epoch", "granted", "lease", "owner", "returned", "used")
@@ -77,16 +77,16 @@
     def __init__(self, lease_time):
         self.lease_time = lease_time
         self.held = {}
-        self.heard = {}
+        self.echoed_at = {}
         self.lapses = 0
 
     def renew_leases(self, owner, sent_at):
         """Extend the leases of ``owner``, which has echoed send time ``sent_at``."""
-        self.heard[owner] = max(self.heard.get(owner, 0.0), sent_at)
+        self.echoed_at[owner] = max(self.echoed_at.get(owner, 0.0), sent_at)
 
     def merge_grant(self, owner, grant):
         """Apply a grant; return the number of slots gained."""
-        held = self.held.setdefault(grant.upstream, Held())
+        held = self.held.setdefault(grant.upstream, HeldSlots())
         current = (held.epoch, held.lease)
         offered = (grant.epoch, grant.lease)
         if offered < current:
@@ -106,7 +106,7 @@
         held = self.held.get(upstream)
         if held is None or held.owner is None:
             return False
-        return now < self.heard.get(held.owner, 0.0) + self.lease_time
+        return now < self.echoed_at.get(held.owner, 0.0) + self.lease_time
 
     def take(self, upstream, now):
         """Use a free slot for a request; return False if none may be used."""
@@ -141,7 +141,7 @@
 
     def get_claim(self, upstream, refused=False):
         """Return this router's `Claim` on ``upstream``."""
-        held = self.held.get(upstream) or Held()
+        held = self.held.get(upstream) or HeldSlots()
         return Claim(
             upstream,
             held.epoch,
@@ -173,7 +173,7 @@
         return self.granted - self.returned
 
 
-class Table:
+class LeaseTable:
     """The owner's table of one upstream's slots during one ownership epoch.
 
     Parameters
