--- a/packages/valeweir_sharing/src/valeweir_sharing/leases.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/leases.py
@@ -66,8 +66,8 @@
 
     Attributes
     ----------
-    held : dict of upstream to Held
-    heard : dict of owner to float
+    held : dict of upstream to HeldSlots
+    echoed_at : dict of owner to float
         The latest send time of this router that the owner has echoed. The
         owner's leases lapse ``lease_time`` after it.
     lapses : int
