--- a/packages/valeweir_router/src/valeweir_router/admin.py
+++ b/packages/valeweir_router/src/valeweir_router/admin.py
@@ -5,7 +5,7 @@
 from valeweir_operators.api import Api
 from valeweir_operators.api import handle as handle_api
 
-from .views import get_fleet_status, get_resource_status
+from .status import get_fleet_status, get_resource_status
 
 
 def create_admin_handler(state, submit):
--- a/packages/valeweir_router/src/valeweir_router/entering.py
+++ b/packages/valeweir_router/src/valeweir_router/admission.py
@@ -4,7 +4,7 @@
 from valeweir_callers.demands import get_bearer, parse_demand
 from valeweir_sharing.limits import find_exceeded_limit, get_retry_after
 
-from .states import Ticket
+from .router_state import Ticket
 
 _SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS"))
 
--- a/packages/valeweir_router/src/valeweir_router/gossip.py
+++ b/packages/valeweir_router/src/valeweir_router/control_plane.py
@@ -28,28 +28,35 @@
 from valeweir_fleet.peers import Member
 from valeweir_sharing.usage import Report, ServiceKey
 
-from . import dispatching, granting, histories, holding, key_claims, owning
+from . import (
+    dispatcher,
+    held_slots,
+    key_claims,
+    service_history,
+    slot_grants,
+    upstream_ownership,
+)
 
 _DIGESTS_PER_WHOLE_DIGEST = 20
 
 
 def tick(state):
     """Run the tasks of one digest interval: liveness, leases, grants and digests."""
-    owning.renew_epochs_after_pause(state)
-    holding.drop_lapsed(state)
+    upstream_ownership.renew_epochs_after_pause(state)
+    held_slots.drop_lapsed(state)
     update_liveness(state)
-    holding.renew_own_leases(state)
-    owning.expire_leases(state)
-    holding.return_idle_slots(state)
+    held_slots.renew_own_leases(state)
+    upstream_ownership.expire_leases(state)
+    held_slots.return_idle_slots(state)
     for pool in state.pools:
         state.ledger.clamp(pool, _get_clamp(state, pool))
-        granting.grant_slots(state, pool)
+        slot_grants.grant_slots(state, pool)
         # The pause of an ejected upstream may have ended.
-        dispatching.dispatch(state, pool)
-    granting.grant_idle_slots(state)
+        dispatcher.dispatch(state, pool)
+    slot_grants.grant_idle_slots(state)
     state.ledger.clear_pending("predicted")
     key_claims.update_keys(state)
-    histories.update_history(state)
+    service_history.update_history(state)
     send_digests(state)
 
 
@@ -58,7 +65,7 @@
     changes = state.peers.get_changes(state.clock())
     for change in changes:
         state.ledger.set_live(change.peer.source, change.live)
-        histories.record_liveness(state, change.peer.source, change.live)
+        service_history.record_liveness(state, change.peer.source, change.live)
         logger.bind(peer=change.peer.source, live=change.live).info("peer changed")
     for peer in state.peers.replaced:
         state.ledger.retire(peer.source, state.clock())
@@ -67,7 +74,7 @@
     state.peers.replaced.clear()
     metrics.live_peers.set(len(state.peers.get_live()))
     if has_changed:
-        owning.update_ownership(state)
+        upstream_ownership.update_ownership(state)
 
 
 def send_digests(state):
@@ -147,10 +154,10 @@
         state.fully_reported.add(peer.source)
     fronts = [(pool.pool, pool.front) for pool in digest.pools]
     state.ledger.merge(peer.source, digest.seq, reports, fronts)
-    dispatching.merge_grants(state, peer.source, digest.grants)
-    pools = owning.merge_claims(state, peer.source, digest.claims)
+    dispatcher.merge_grants(state, peer.source, digest.grants)
+    pools = upstream_ownership.merge_claims(state, peer.source, digest.claims)
     for pool in pools | {pool.pool for pool in digest.pools}:
-        granting.grant_slots(state, pool)
+        slot_grants.grant_slots(state, pool)
     _request_missing_state(state, peer, digest)
 
 
@@ -159,19 +166,19 @@
     names = state.account_names
     waiting = {names[n]: count for n, count in ask.waiting.items() if n in names}
     state.ledger.merge_waiting(peer.source, ask.pool, waiting)
-    owning.merge_claims(state, peer.source, ask.claims)
-    granting.grant_slots(state, ask.pool)
+    upstream_ownership.merge_claims(state, peer.source, ask.claims)
+    slot_grants.grant_slots(state, ask.pool)
 
 
 def _handle_offer(state, peer, offer):
     peer.echo = max(peer.echo, offer.echo)
     state.holder.renew_leases(peer.source, offer.echo)
-    dispatching.merge_grants(state, peer.source, offer.grants)
-    holding.handle_recall(state, offer.recall)
+    dispatcher.merge_grants(state, peer.source, offer.grants)
+    held_slots.handle_recall(state, offer.recall)
 
 
 def _handle_handover(state, peer, handover):
-    owning.adopt_handover(state, handover)
+    upstream_ownership.adopt_handover(state, handover)
 
 
 def _handle_view_query(state, peer, query):
@@ -196,14 +203,14 @@
 
 def _handle_history_query(state, peer, _query):
     if state.history_known:
-        _send(state, peer, History, **histories.encode_history(state))
+        _send(state, peer, History, **service_history.encode_history(state))
 
 
 def _handle_history(state, peer, message):
     if state.history_known:
         return
     state.history_known = True
-    history = histories.decode_history(state, message)
+    history = service_history.decode_history(state, message)
     state.ledger.adopt_history(history, state.clock())
     logger.bind(peer=peer.source).info("history adopted")
 
@@ -229,14 +236,14 @@
     """Apply the current configuration to upstreams, ownership and held slots."""
     previous_names = set(state.upstreams)
     state.apply_configuration()
-    owning.update_ownership(state)
+    upstream_ownership.update_ownership(state)
     for name in previous_names - set(state.upstreams):
         state.holder.held.pop(name, None)
     for name, up in state.upstreams.items():
         if up.leaving and name in state.holder.held:
-            holding.hand_back(state, name, state.holder.held[name].free)
+            held_slots.hand_back(state, name, state.holder.held[name].free)
     for pool in state.pools:
-        dispatching.dispatch(state, pool)
+        dispatcher.dispatch(state, pool)
 
 
 def set_members(state, hosts):
@@ -252,7 +259,7 @@
     known_hosts = {m.host for m in members}
     seeds = [m for m in get_seeds(state) if m.host not in known_hosts]
     state.peers.set_members(members + seeds)
-    owning.update_ownership(state)
+    upstream_ownership.update_ownership(state)
 
 
 def get_seeds(state):
@@ -265,7 +272,8 @@
     claims = [
         state.holder.get_claim(name, state.health.is_ejected(name, now))
         for name in state.holder.held
-        if source is not None and source in owning.get_claim_targets(state, name)
+        if source is not None
+        and source in upstream_ownership.get_claim_targets(state, name)
     ]
     grants = [
         table.get_grant(source)
--- a/packages/valeweir_router/src/valeweir_router/holding.py
+++ b/packages/valeweir_router/src/valeweir_router/held_slots.py
@@ -8,7 +8,7 @@
 from valeweir_fleet.messages import Ask
 from valeweir_sharing.usage import ServiceKey
 
-from . import granting, owning
+from . import slot_grants, upstream_ownership
 
 MIN_ASK_INTERVAL_S = 0.05
 _MAX_SILENCE_INTERVALS = 2.2
@@ -22,7 +22,7 @@
     next free slot.
     """
     now = state.clock()
-    granting.grant_slots(state, pool)
+    slot_grants.grant_slots(state, pool)
     if state.announced_waiting.get(pool, {}).get(account, 0) > 0:
         return
     if now - state.last_ask_at.get(pool, 0.0) < MIN_ASK_INTERVAL_S:
@@ -49,7 +49,7 @@
         claims = [
             state.holder.get_claim(name)
             for name in upstreams
-            if source in owning.get_claim_targets(state, name)
+            if source in upstream_ownership.get_claim_targets(state, name)
         ]
         ask = Ask(
             source=state.source,
@@ -78,9 +78,11 @@
     _add_predicted_service(state, pool, returned_count)
     if state.owners.get(upstream) == state.source:
         _merge_own_claim(state, upstream)
-        granting.grant_slots(state, pool)
+        slot_grants.grant_slots(state, pool)
         return
-    send_ask(state, pool, owning.get_claim_targets(state, upstream), [upstream])
+    send_ask(
+        state, pool, upstream_ownership.get_claim_targets(state, upstream), [upstream]
+    )
 
 
 def return_idle_slots(state):
--- a/packages/valeweir_router/src/valeweir_router/sessions.py
+++ b/packages/valeweir_router/src/valeweir_router/request_handler.py
@@ -9,9 +9,9 @@
 from valeweir_sharing.limits import get_retry_after
 
 from . import key_claims, scheduler
-from .endings import MAX_ATTEMPTS, count_outcome, make_refusal, may_retry, refuse
-from .entering import admit
-from .exchanging import CostProgress, exchange_once, record_health
+from .admission import admit
+from .outcomes import MAX_ATTEMPTS, count_outcome, make_refusal, may_retry, refuse
+from .upstream_exchange import CostProgress, exchange_once, record_health
 
 _CALLER_CHECK_INTERVAL_S = 2.0
 
--- a/packages/valeweir_router/src/valeweir_router/router.py
+++ b/packages/valeweir_router/src/valeweir_router/router.py
@@ -14,10 +14,10 @@
 from valeweir_sharing.ownership import choose_owner
 from valeweir_upstreams.connections import Connections
 
-from . import gossip, holding, owning
+from . import control_plane, held_slots, upstream_ownership
 from .admin import create_admin_handler
-from .sessions import create_handler
-from .states import RouterState
+from .request_handler import create_handler
+from .router_state import RouterState
 
 _ADMIN_THREAD_COUNT = 64
 _STOP_POLL_INTERVAL_S = 0.05
@@ -50,7 +50,7 @@
             "digests", self.state.digest_interval.get_interval, self._tick
         )
         self.timers.subscribe(
-            "asks", holding.MIN_ASK_INTERVAL_S, self._send_delayed_asks
+            "asks", held_slots.MIN_ASK_INTERVAL_S, self._send_delayed_asks
         )
         self.timers.subscribe("members", cfg["platform"]["poll"], self._read_members)
         self.timers.subscribe(
@@ -75,8 +75,8 @@
         stop = state.cfg["stop"]
         with state.lock:
             state.leaving = True
-            owning.update_ownership(state)
-            gossip.send_digests(state)
+            upstream_ownership.update_ownership(state)
+            control_plane.send_digests(state)
         logger.info("stopping")
         deadline = time.monotonic() + stop["limit"]
         self._wait(time.monotonic() + stop["balancer_wait"], lambda: False)
@@ -102,19 +102,19 @@
         self.timers.stop()
         with self.state.lock:
             # The service since the last digest has to count for the accounts.
-            gossip.send_digests(self.state)
+            control_plane.send_digests(self.state)
         self.caller_server.stop()
         self.admin_server.stop()
         self.state.links.stop()
 
     def _handle(self, message):
         with self.state.lock:
-            gossip.handle(self.state, message)
+            control_plane.handle(self.state, message)
 
     def _tick(self):
         started = time.thread_time()
         with self.state.lock:
-            gossip.tick(self.state)
+            control_plane.tick(self.state)
             self.state.digest_interval.note(
                 self.state.links.sent_bytes, self.state.clock()
             )
@@ -123,8 +123,8 @@
     def _send_delayed_asks(self):
         with self.state.lock:
             for pool in list(self.state.pools_with_due_ask):
-                owners = holding.get_pool_owners(self.state, pool)
-                holding.send_ask(self.state, pool, owners)
+                owners = held_slots.get_pool_owners(self.state, pool)
+                held_slots.send_ask(self.state, pool, owners)
 
     def _check_snapshot(self):
         """Write a log snapshot if one is due and this router is chosen for it."""
@@ -145,7 +145,7 @@
         except PlatformUnavailable:
             return
         with self.state.lock:
-            gossip.set_members(self.state, hosts)
+            control_plane.set_members(self.state, hosts)
 
 
 def create_router(cfg):
@@ -153,14 +153,14 @@
     state = RouterState(cfg, _make_source(cfg["host"]))
     fleet = cfg["fleet"]
     state.links = Links(fleet["address"], _get_curve_keys(fleet))
-    state.peers.set_members(gossip.get_seeds(state))
+    state.peers.set_members(control_plane.get_seeds(state))
     platform = cfg["platform"]
     log = create_log(platform["log"], platform["timeout"])
     follower = LogFollower(
         log,
         state.configuration,
         state.lock,
-        on_change=lambda: gossip.apply_configuration(state),
+        on_change=lambda: control_plane.apply_configuration(state),
         on_reached=lambda: _mark_config_known(state),
     )
     caller_server = _create_port(
--- a/packages/valeweir_router/src/valeweir_router/scheduler.py
+++ b/packages/valeweir_router/src/valeweir_router/scheduler.py
@@ -7,7 +7,7 @@
 from valeweir_sharing.queues import get_least_service
 from valeweir_sharing.slot_assignment import should_hand_back
 
-from . import dispatching, holding
+from . import dispatcher, held_slots
 
 
 def submit(state, ticket):
@@ -67,23 +67,23 @@
         return
     up = state.upstreams.get(upstream)
     if up is None or up.leaving:
-        holding.hand_back(state, upstream, held.free)
+        held_slots.hand_back(state, upstream, held.free)
         return
     if state.leaving and state.get_queue(pool).size:
         # Requests that are queued here must finish before the process stops.
-        dispatching.dispatch(state, pool)
+        dispatcher.dispatch(state, pool)
         return
     local_least = get_least_service(state.get_queue(pool), state.ledger, pool)
     least_served = state.ledger.get_least_served_elsewhere(pool)
     elsewhere_least = least_served[0] if least_served else None
     if should_hand_back(local_least, elsewhere_least, state.get_slack(pool)):
-        holding.hand_back(state, upstream, 1)
-    dispatching.dispatch(state, pool)
+        held_slots.hand_back(state, upstream, 1)
+    dispatcher.dispatch(state, pool)
 
 
 def _queue(state, ticket, enqueue):
     state.ledger.add_waiting(ticket.key, 1)
     enqueue(ticket)
-    dispatching.dispatch(state, ticket.pool)
+    dispatcher.dispatch(state, ticket.pool)
     if ticket.placement is None:
-        holding.request_slots(state, ticket.pool, ticket.account)
+        held_slots.request_slots(state, ticket.pool, ticket.account)
--- a/packages/valeweir_router/src/valeweir_router/granting.py
+++ b/packages/valeweir_router/src/valeweir_router/slot_grants.py
@@ -7,7 +7,7 @@
 from valeweir_sharing.slot_assignment import SlotDemand, assign_idle_slots, assign_slots
 from valeweir_sharing.usage import ServiceKey
 
-from . import dispatching
+from . import dispatcher
 
 _MIN_RECALL_INTERVAL_S = 0.05
 _STARVATION_S = 2.0
@@ -90,7 +90,7 @@
     for holder, names in grants.items():
         rows = [state.tables[name].get_grant(holder) for name in sorted(names)]
         if holder == state.source:
-            dispatching.merge_grants(state, state.source, rows)
+            dispatcher.merge_grants(state, state.source, rows)
         else:
             send_offer(state, holder, rows)
 
--- a/packages/valeweir_router/src/valeweir_router/owning.py
+++ b/packages/valeweir_router/src/valeweir_router/upstream_ownership.py
@@ -14,8 +14,8 @@
 from valeweir_sharing.leases import LEASE_MARGIN_S, HeldSlots, LeaseTable
 from valeweir_sharing.ownership import choose_owner, get_candidates, get_group
 
-from . import dispatching
-from .granting import grant_slots, send_offer
+from . import dispatcher
+from .slot_grants import grant_slots, send_offer
 
 
 def renew_epochs_after_pause(state):
@@ -216,7 +216,7 @@
         held.granted = slot_count
     state.holder.echoed_at["static"] = float("inf")
     for pool in state.pools:
-        dispatching.dispatch(state, pool)
+        dispatcher.dispatch(state, pool)
 
 
 def _make_static_lease():
--- a/packages/valeweir_standins/src/valeweir_standins/slopes.py
+++ b/packages/valeweir_standins/src/valeweir_standins/slopes.py
@@ -21,8 +21,8 @@
     decode_message,
     encode_message,
 )
-from valeweir_router import gossip
-from valeweir_router.states import RouterState
+from valeweir_router import control_plane
+from valeweir_router.router_state import RouterState
 from valeweir_sharing.leases import Claim
 
 _ROUNDS = 20
@@ -127,7 +127,7 @@
         spec |= {"kind": "engine", "domain": "d0", "slots": 46}
         spec |= {"address": "127.0.0.1:9"}
         offset = _fold(state, offset, "upstreams", f"upstream-{number}", spec)
-    gossip.apply_configuration(state)
+    control_plane.apply_configuration(state)
     state.seq = 0
     return state
 
@@ -188,11 +188,11 @@
         for stream in streams:
             if place < len(stream):
                 message, _ = decode_message(stream[place])
-                gossip.handle(state, message)
+                control_plane.handle(state, message)
         middle = time.process_time()
         _serve_some(state)
         begun = time.process_time()
-        gossip.tick(state)
+        control_plane.tick(state)
         cpu["handle"] += middle - started
         cpu["tick"] += time.process_time() - begun
     return cpu
@@ -226,7 +226,7 @@
             claims=[Claim(name, table.epoch, 1, number, 1, 0)],
         )
         message, _ = decode_message(encode_message(ask))
-        gossip.handle(state, message)
+        control_plane.handle(state, message)
     return (time.process_time() - started) / count
 
 
