--- a/packages/valeweir_fleet/src/valeweir_fleet/messages.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/messages.py
@@ -122,7 +122,8 @@
 
 
 class History(Message, tag="P"):
-    """Service of past and silent incarnations, see `accounts.History`.
+    """Service of past and silent incarnations, see
+    `valeweir_sharing.usage.History`.
 
     ``silent`` maps an incarnation to ``(pool, account, settled)`` rows.
     """
@@ -135,7 +136,7 @@
 class KeyClaim(Message, tag="K"):
     """A router asks a holder to record an idempotency key for a request.
 
-    Both travel as digests, see `valeweir_router.claims`.
+    Both travel as digests, see `valeweir_router.key_claims`.
     """
 
     key: bytes
