--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -34,17 +34,17 @@
 from .view.views import ViewUpdater
 
 METRICS_PATH = "/metrics"
-_STOP_POLL = 0.05
-_LAST_WAIT = 0.1
+_STOP_POLL_S = 0.05
+_LAST_REQUESTS_WAIT_S = 0.1
 # Seconds of the grace left for writing the log and ending the process, also where
 # the processor is busy.
-_GRACE_MARGIN = 0.6
-_STALE_CHECK = 1.0
-_CACHE_CHECK = 0.2
-_BACKOFF_CHECK = 0.5
+_GRACE_MARGIN_S = 0.6
+_CHECK_INTERVAL_S = 1.0
+_CACHE_CHECK_INTERVAL_S = 0.2
+_BACKOFF_CHECK_INTERVAL_S = 0.5
 # Seconds for binding ports, and for closing them.
-_OPEN_WAIT = 10.0
-_CLOSE_WAIT = 2.0
+_OPEN_TIMEOUT_S = 10.0
+_CLOSE_TIMEOUT_S = 2.0
 
 
 class Gateway:
@@ -56,7 +56,7 @@
         self.timers = state.timers
         self._store = adapter.store
         self._clients = clients
-        self._ready = ready
+        self._ready_server = ready
         listen = state.cfg.listen
         self._fleet = create_fleet(state, listen.reports)
         read_policy = StoreReadPolicy(state, lambda: self._fleet.plan)
@@ -65,8 +65,8 @@
         )
         self._updater = ViewUpdater(state, adapter)
         self._followers = create_followers(state, adapter, read_policy, self._updater)
-        state.freshness.is_held = self._is_held
-        self._views = create_server(
+        state.freshness.is_held = self._has_unapplied_records
+        self._fleet_server = create_server(
             listen.fleet,
             create_plain_handler(
                 _create_fleet_handler(state, self._followers), state.log
@@ -80,11 +80,11 @@
             read_policy,
             Refresher(state, self._followers, read_policy),
         )
-        self._scout = CacheDiscovery(
+        self._cache_discovery = CacheDiscovery(
             state, adapter.list_parts, create_cache_fetcher(listen.fleet)
         )
-        self._metrics = _create_metrics_server(state, self._update_gauges)
-        self._prober = DomainProber(state)
+        self._metrics_server = _create_metrics_server(state, self._update_gauges)
+        self._domain_prober = DomainProber(state)
         self._publisher = Publisher(state, adapter, listen.reports)
 
     def start(self):
@@ -98,19 +98,27 @@
         self._sync.start(self.stopped)
         self._publisher.start(self.stopped)
         state.quarantine_store.start(self.stopped)
-        self._scout.start(self.stopped)
+        self._cache_discovery.start(self.stopped)
         threading.Thread(target=self._run_loop, name="loop", daemon=True).start()
-        asyncio.run_coroutine_threadsafe(self._open(), self._loop).result(_OPEN_WAIT)
-        self.timers.subscribe("idle", _STALE_CHECK, state.connections.drop_stale)
+        asyncio.run_coroutine_threadsafe(self._start_servers(), self._loop).result(
+            _OPEN_TIMEOUT_S
+        )
+        self.timers.subscribe("idle", _CHECK_INTERVAL_S, state.connections.drop_stale)
+        self.timers.subscribe(
+            "quarantine",
+            _CHECK_INTERVAL_S,
+            lambda: crash_attribution.release_expired(state),
+        )
         self.timers.subscribe(
-            "quarantine", _STALE_CHECK, lambda: crash_attribution.release_expired(state)
+            "backoffs",
+            _BACKOFF_CHECK_INTERVAL_S,
+            lambda: upstream_signals.end_backoffs(state),
         )
         self.timers.subscribe(
-            "backoffs", _BACKOFF_CHECK, lambda: upstream_signals.end_backoffs(state)
+            "caches", _CACHE_CHECK_INTERVAL_S, self._cache_discovery.queue_new_engines
         )
-        self.timers.subscribe("caches", _CACHE_CHECK, self._scout.queue_new_engines)
-        self.timers.subscribe("domains", PROBE_CHECK_S, self._prober.probe)
-        self.timers.subscribe("limits", _STALE_CHECK, self._apply_limits)
+        self.timers.subscribe("domains", PROBE_CHECK_S, self._domain_prober.probe)
+        self.timers.subscribe("limits", _CHECK_INTERVAL_S, self._apply_limits)
         self.timers.start()
 
     def stop(self):
@@ -120,13 +128,13 @@
         started = state.clock()
         state.stopping = True
         state.log.note("stopping", inflight=state.inflight)
-        end = started + stop.grace - _GRACE_MARGIN
+        end = started + stop.grace - _GRACE_MARGIN_S
         # Until the balancer has noticed, new connections still come.
         self._wait(min(end, started + stop.balancer_wait), lambda: False)
         # A stream taken any later might outlast the grace.
-        state.stop_end = end - _GRACE_MARGIN
+        state.stop_end = end - _GRACE_MARGIN_S
         state.refusing = True
-        self._wait(min(end, state.clock() + _LAST_WAIT), lambda: False)
+        self._wait(min(end, state.clock() + _LAST_REQUESTS_WAIT_S), lambda: False)
         self._wait(end, lambda: state.inflight == 0)
         cut = state.inflight
         self.stopped.set()
@@ -140,7 +148,9 @@
         self.timers.stop()
         if not self._loop.is_running():
             return
-        asyncio.run_coroutine_threadsafe(self._shut(), self._loop).result(_CLOSE_WAIT)
+        asyncio.run_coroutine_threadsafe(self._close_servers(), self._loop).result(
+            _CLOSE_TIMEOUT_S
+        )
         self._loop.call_soon_threadsafe(self._loop.stop)
 
     def reload(self, cfg):
@@ -148,8 +158,8 @@
 
         The rest, as addresses to listen on, wait for the next start.
         """
-        before, self.state.cfg = self.state.cfg, cfg
-        if cfg.store.address != before.store.address:
+        old_cfg, self.state.cfg = self.state.cfg, cfg
+        if cfg.store.address != old_cfg.store.address:
             self._store.move(cfg.store.address)
         self._add_seeds()
         retries = self.state.retries
@@ -168,24 +178,34 @@
         asyncio.set_event_loop(self._loop)
         self._loop.run_forever()
 
-    async def _open(self):
+    async def _start_servers(self):
         """Bind every port; the balancer's comes last, as who is ready accepts."""
         self._fleet.start(self._loop)
-        for server in (self._views, self._metrics, self._clients, self._ready):
+        for server in (
+            self._fleet_server,
+            self._metrics_server,
+            self._clients,
+            self._ready_server,
+        ):
             if server is not None:
                 await server.start()
 
-    async def _shut(self):
-        for server in (self._ready, self._clients, self._views, self._metrics):
+    async def _close_servers(self):
+        for server in (
+            self._ready_server,
+            self._clients,
+            self._fleet_server,
+            self._metrics_server,
+        ):
             if server is not None:
                 server.close()
         self._fleet.close(self._loop)
 
     def _wait(self, deadline, is_done):
         while self.state.clock() < deadline and not is_done():
-            time.sleep(_STOP_POLL)
+            time.sleep(_STOP_POLL_S)
 
-    def _is_held(self):
+    def _has_unapplied_records(self):
         followers = (self._followers.catalog, self._followers.instances)
         return any(follower.unapplied for follower in followers)
 
@@ -207,7 +227,7 @@
         for follower in self._followers:
             age = follower.get_age(state.clock())
             gauges.topic_age.labels(follower.topic).set(-1.0 if age is None else age)
-        gauges.unapplied.set(sum(row.unapplied for row in self._followers))
+        gauges.unapplied.set(sum(follower.unapplied for follower in self._followers))
         gauges.lag.set(state.pressure.lag)
         gauges.live_peers.set(len(state.members.get_live(state.clock())))
         gauges.instances.set(len(state.directory.by_id))
@@ -240,17 +260,17 @@
     log = log or DecisionLog(identity={"host": cfg.host, "domain": cfg.domain})
     state = GatewayState(cfg, log, adapter.names, clock)
 
-    def note_malformed(code):
+    def record_malformed(code):
         state.metrics.malformed.labels(code).inc()
         log.note("request malformed", failed=True, why=code)
 
     clients = create_server(
         cfg.listen.clients,
         create_handler(state),
-        note_refusal=note_malformed,
+        note_refusal=record_malformed,
         prepare_socket=prepare_socket,
     )
-    clients.max_connections = cfg.descriptors.most_clients
+    clients.max_connections = cfg.descriptors.max_clients
     ready = create_server(
         cfg.listen.ready,
         create_plain_handler(
@@ -262,17 +282,17 @@
 
 def _create_fleet_handler(state, followers):
     """Return the handler for peers and operators."""
-    give_view = create_view_handler(state, followers)
-    serve_operators = create_quarantine_handler(state)
-    give_caches = create_caches_handler(state)
+    handle_view = create_view_handler(state, followers)
+    handle_quarantine = create_quarantine_handler(state)
+    handle_caches = create_caches_handler(state)
 
     def handle(request, reply):
         if request.path.startswith(QUARANTINE_PATH):
-            serve_operators(request, reply)
+            handle_quarantine(request, reply)
         elif request.path == CACHES_PATH:
-            give_caches(request, reply)
+            handle_caches(request, reply)
         else:
-            give_view(request, reply)
+            handle_view(request, reply)
 
     return handle
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/process_pauses.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/process_pauses.py
@@ -9,9 +9,9 @@
 _MAX_LATENESS_S = 0.13
 _DEFAULT_INTERVAL_S = 0.02
 # Seconds for which the end of a stall is kept.
-_KEPT = 2.0
+_HISTORY_S = 2.0
 # Seconds from which a stall gets a line of its own in the log.
-_TOLD = 0.5
+_MIN_LOGGED_S = 0.5
 
 
 class Stalls:
@@ -19,18 +19,18 @@
 
     Parameters
     ----------
-    note : callable
+    log_event : callable
         Called with an event and its fields.
     """
 
-    def __init__(self, clock, note):
+    def __init__(self, clock, log_event):
         self._clock = clock
-        self._note = note
-        self._ticked = None
+        self._log_event = log_event
+        self._last_tick = None
         self._max_gap = _DEFAULT_INTERVAL_S + _MAX_LATENESS_S
         self._total = 0.0
         # The (end, seconds) of those that ended lately.
-        self._ended = collections.deque()
+        self._recent = collections.deque()
 
     def expect(self, interval):
         """Set after how many seconds the next ticks are due."""
@@ -39,15 +39,15 @@
     def tick(self):
         """Record that the process runs."""
         now = self._clock()
-        stalled = self._get_current(now)
-        self._ticked = now
-        self._total += stalled
-        if stalled:
-            self._ended.append((now, stalled))
-        while self._ended and now - self._ended[0][0] > _KEPT:
-            self._ended.popleft()
-        if stalled > _TOLD:
-            self._note("process stalled", failed=True, seconds=round(stalled, 3))
+        pause = self._get_current(now)
+        self._last_tick = now
+        self._total += pause
+        if pause:
+            self._recent.append((now, pause))
+        while self._recent and now - self._recent[0][0] > _HISTORY_S:
+            self._recent.popleft()
+        if pause > _MIN_LOGGED_S:
+            self._log_event("process stalled", failed=True, seconds=round(pause, 3))
 
     def get_total(self):
         """Return seconds stalled since the start, one that lasts included."""
@@ -59,11 +59,11 @@
         One that lasts ends now.
         """
         now = self._clock()
-        ended = sum(row[1] for row in list(self._ended) if now - row[0] < within)
-        return ended + self._get_current(now)
+        recent = sum(row[1] for row in list(self._recent) if now - row[0] < within)
+        return recent + self._get_current(now)
 
     def _get_current(self, now):
-        if self._ticked is None:
+        if self._last_tick is None:
             return 0.0
-        gap = now - self._ticked
+        gap = now - self._last_tick
         return gap if gap > self._max_gap else 0.0
--- a/packages/valeweir_gateway/src/valeweir_gateway/settings.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/settings.py
@@ -8,15 +8,15 @@
 from .fleet.members import MESH_LIMIT
 
 # Room for a gateway with nothing under way, and for each request under way.
-_BASE_MB = 80.0
-_REQUEST_MB = 0.1
+_BASE_MEMORY_MB = 80.0
+_REQUEST_MEMORY_MB = 0.1
 # Descriptors for files, listening sockets and calls of the store, as the platform
 # counts; of the others each request under way takes one beside its client's.
-_FILE_DESCRIPTORS = 200
+_OTHER_DESCRIPTOR_COUNT = 200
 _CLIENTS_RATIO = 0.65
-_MIN_INFLIGHT = 64
+_MIN_INFLIGHT_COUNT = 64
 # Each takes two descriptors, of which the smallest hosts have 4,000.
-_MAX_INFLIGHT = 1_200
+_MAX_INFLIGHT_COUNT = 1_200
 
 
 class Listen(msgspec.Struct, frozen=True):
@@ -125,9 +125,9 @@
     limit: int = 4096
 
     @property
-    def most_clients(self):
+    def max_clients(self):
         """Return how many connections of clients may be open."""
-        return int((self.limit - _FILE_DESCRIPTORS) * _CLIENTS_RATIO)
+        return int((self.limit - _OTHER_DESCRIPTOR_COUNT) * _CLIENTS_RATIO)
 
 
 class Streams(msgspec.Struct, frozen=True):
@@ -161,10 +161,10 @@
     memory: Memory = Memory()
 
     @property
-    def most_inflight(self):
+    def max_inflight(self):
         """Return how many requests may be under way."""
-        room = (self.memory.limit_mb - _BASE_MB) / _REQUEST_MB
-        return int(min(_MAX_INFLIGHT, max(_MIN_INFLIGHT, room)))
+        by_memory = (self.memory.limit_mb - _BASE_MEMORY_MB) / _REQUEST_MEMORY_MB
+        return int(min(_MAX_INFLIGHT_COUNT, max(_MIN_INFLIGHT_COUNT, by_memory)))
 
 
 class SettingsFile:
@@ -172,52 +172,52 @@
 
     def __init__(self, path):
         self._path = Path(path)
-        self._mark = None
+        self._file_version = None
 
     def load(self):
         """Return the `GatewaySettings` in the file; raises `SettingsError`."""
         # Before reading: a change meanwhile is then seen as one.
-        self._mark = self._get_mark()
+        self._file_version = self._get_file_version()
         return load_settings(self._path)
 
     def has_changed(self):
         """Return whether the file is another than when it was last read."""
-        return self._get_mark() != self._mark
+        return self._get_file_version() != self._file_version
 
-    def _get_mark(self):
+    def _get_file_version(self):
         try:
-            found = self._path.stat()
+            stat = self._path.stat()
         except OSError:
             # It may be on its way to its place; reading it will tell.
             return None
-        return (found.st_ino, found.st_mtime_ns, found.st_size)
+        return (stat.st_ino, stat.st_mtime_ns, stat.st_size)
 
 
 def load_settings(path):
     """Return the `GatewaySettings` in a file; raises `SettingsError`."""
     try:
-        text = Path(path).read_bytes()
+        data = Path(path).read_bytes()
     except OSError as exc:
         raise SettingsError(path, [str(exc)]) from exc
-    return parse_settings(text, path)
+    return parse_settings(data, path)
 
 
-def parse_settings(text, path="settings"):
+def parse_settings(data, path="settings"):
     """Return the `GatewaySettings` in bytes; raises `SettingsError`."""
     try:
-        return msgspec.json.decode(text, type=GatewaySettings)
+        return msgspec.json.decode(data, type=GatewaySettings)
     except msgspec.ValidationError as exc:
         raise SettingsError(path, [str(exc)]) from exc
     except msgspec.DecodeError:
-        return _parse_with_comments(text, path)
+        return _parse_with_comments(data, path)
 
 
-def _parse_with_comments(text, path):
+def _parse_with_comments(data, path):
     # Imported only here: a filled template has no comments, and starts faster.
     import json5
 
     try:
-        value = json5.loads(text.decode())
+        value = json5.loads(data.decode())
         return msgspec.convert(value, GatewaySettings)
     except (ValueError, msgspec.ValidationError) as exc:
         raise SettingsError(path, [str(exc)]) from exc
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -37,7 +37,7 @@
 from .view.lapsed_records import LapsedRecords
 
 # As many as an upstream or two run at a time; older ones are left out.
-_MAX_NOTICES = 200
+_MAX_NOTICE_COUNT = 200
 
 
 class GatewayState:
@@ -109,7 +109,7 @@
         # Set by the gateway, as it writes to the store.
         self.quarantine_store = None
         # `crash_attribution.Notice` of this gateway that peers are not told yet.
-        self.notices = collections.deque(maxlen=_MAX_NOTICES)
+        self.notices = collections.deque(maxlen=_MAX_NOTICE_COUNT)
         retries = cfg.retries
         self.retries = RetryBudget(retries.ratio, retries.slack, retries.window)
         self.slow_start = SlowStart(
@@ -141,7 +141,7 @@
 
     def get_pressure(self):
         """Return the `pressure.Level` of this gateway."""
-        occupancy = get_occupancy_level(self._inflight, self.cfg.most_inflight)
+        occupancy = get_occupancy_level(self._inflight, self.cfg.max_inflight)
         return max(self.pressure.level, occupancy)
 
     def is_ready(self):
