--- a/packages/valeweir_gateway/src/valeweir_gateway/__init__.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/__init__.py
@@ -1,3 +1,3 @@
-"""Gateway: declared routes served by upstreams that announce themselves."""
+"""Gateway that forwards requests of declared routes to self-registering upstreams."""
 
 __version__ = "0.2.0"
--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway: its parts made, started and stopped."""
+"""Construction, start and stop of one gateway."""
 
 import asyncio
 import collections
@@ -36,13 +36,12 @@
 METRICS_PATH = "/metrics"
 _STOP_POLL_S = 0.05
 _LAST_REQUESTS_WAIT_S = 0.1
-# Seconds of the grace left for writing the log and ending the process, also where
-# the processor is busy.
+# Part of the grace period that is left for writing the log and exiting, even if the
+# processor is busy.
 _GRACE_MARGIN_S = 0.6
 _CHECK_INTERVAL_S = 1.0
 _CACHE_CHECK_INTERVAL_S = 0.2
 _BACKOFF_CHECK_INTERVAL_S = 0.5
-# Seconds for binding ports, and for closing them.
 _OPEN_TIMEOUT_S = 10.0
 _CLOSE_TIMEOUT_S = 2.0
 
@@ -88,7 +87,7 @@
         self._publisher = Publisher(state, adapter, listen.reports)
 
     def start(self):
-        """Bind every port and start; returns when clients are taken."""
+        """Bind every port and start; return when clients can connect."""
         state = self.state
         state.log.start()
         state.log.note("started", settings=state.cfg.listen.clients)
@@ -122,16 +121,16 @@
         self.timers.start()
 
     def stop(self):
-        """Leave as planned; return how many requests were cut."""
+        """Stop as planned; return the number of requests that were cut off."""
         state = self.state
         stop = state.cfg.stop
         started = state.clock()
         state.stopping = True
         state.log.note("stopping", inflight=state.inflight)
         end = started + stop.grace - _GRACE_MARGIN_S
-        # Until the balancer has noticed, new connections still come.
+        # New connections arrive until the balancer detects that this gateway is not ready.
         self._wait(min(end, started + stop.balancer_wait), lambda: False)
-        # A stream taken any later might outlast the grace.
+        # A stream accepted after this point might outlast the grace period.
         state.stop_end = end - _GRACE_MARGIN_S
         state.refusing = True
         self._wait(min(end, state.clock() + _LAST_REQUESTS_WAIT_S), lambda: False)
@@ -143,7 +142,7 @@
         return cut
 
     def close(self):
-        """Close every port and end every thread; what is in flight is cut."""
+        """Close every port and stop every thread; active requests are cut off."""
         self.stopped.set()
         self.timers.stop()
         if not self._loop.is_running():
@@ -154,9 +153,9 @@
         self._loop.call_soon_threadsafe(self._loop.stop)
 
     def reload(self, cfg):
-        """Put settings in force that may change while the gateway runs.
+        """Apply the settings that may change while the gateway runs.
 
-        The rest, as addresses to listen on, wait for the next start.
+        The others, such as listening addresses, take effect at the next start.
         """
         old_cfg, self.state.cfg = self.state.cfg, cfg
         if cfg.store.address != old_cfg.store.address:
@@ -179,7 +178,10 @@
         self._loop.run_forever()
 
     async def _start_servers(self):
-        """Bind every port; the balancer's comes last, as who is ready accepts."""
+        """Bind every port, that of the readiness checks last.
+
+        A gateway that reports itself ready must accept connections.
+        """
         self._fleet.start(self._loop)
         for server in (
             self._fleet_server,
@@ -256,7 +258,7 @@
 
 
 def create_gateway(cfg, adapter, log=None, clock=get_lease_time):
-    """Return a `Gateway` for checked settings, its ports bound on start."""
+    """Return a `Gateway` for valid settings; its ports are bound on start."""
     log = log or DecisionLog(identity={"host": cfg.host, "domain": cfg.domain})
     state = GatewayState(cfg, log, adapter.names, clock)
 
@@ -281,7 +283,7 @@
 
 
 def _create_fleet_handler(state, followers):
-    """Return the handler for peers and operators."""
+    """Return the handler of requests from peers and operators."""
     handle_view = create_view_handler(state, followers)
     handle_quarantine = create_quarantine_handler(state)
     handle_caches = create_caches_handler(state)
--- a/packages/valeweir_gateway/src/valeweir_gateway/process_pauses.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/process_pauses.py
@@ -5,22 +5,24 @@
 
 import collections
 
-# Seconds by which a tick may be late without a stall.
+# Delay of a tick that does not count as a pause.
 _MAX_LATENESS_S = 0.13
 _DEFAULT_INTERVAL_S = 0.02
-# Seconds for which the end of a stall is kept.
+# Time for which a pause is kept after its end.
 _HISTORY_S = 2.0
-# Seconds from which a stall gets a line of its own in the log.
+# Longer pauses are logged.
 _MIN_LOGGED_S = 0.5
 
 
 class Stalls:
-    """Sums up the times without a tick; one thread ticks, any may ask.
+    """Measures pauses as gaps between ticks.
+
+    A single thread calls `tick`; the other methods may be called from any thread.
 
     Parameters
     ----------
     log_event : callable
-        Called with an event and its fields.
+        Function that logs an event with its fields.
     """
 
     def __init__(self, clock, log_event):
@@ -29,15 +31,15 @@
         self._last_tick = None
         self._max_gap = _DEFAULT_INTERVAL_S + _MAX_LATENESS_S
         self._total = 0.0
-        # The (end, seconds) of those that ended lately.
+        # Rows (end, duration) of the recent pauses.
         self._recent = collections.deque()
 
     def expect(self, interval):
-        """Set after how many seconds the next ticks are due."""
+        """Set the interval of the next ticks in seconds."""
         self._max_gap = interval + _MAX_LATENESS_S
 
     def tick(self):
-        """Record that the process runs."""
+        """Record that the process is running."""
         now = self._clock()
         pause = self._get_current(now)
         self._last_tick = now
@@ -50,13 +52,13 @@
             self._log_event("process stalled", failed=True, seconds=round(pause, 3))
 
     def get_total(self):
-        """Return seconds stalled since the start, one that lasts included."""
+        """Return the seconds of all pauses since the start, including a current one."""
         return self._total + self._get_current(self._clock())
 
     def get_lately(self, within):
-        """Return seconds stalled in what ended in the last seconds, 2 at most.
+        """Return the seconds of all pauses that ended within the last seconds.
 
-        One that lasts ends now.
+        At most the last 2 seconds are covered. A current pause counts as ending now.
         """
         now = self._clock()
         recent = sum(row[1] for row in list(self._recent) if now - row[0] < within)
--- a/packages/valeweir_gateway/src/valeweir_gateway/settings.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway: JSON, comments allowed, unknown fields ignored."""
+"""Settings of a gateway, from JSON with comments; unknown fields are ignored."""
 
 from pathlib import Path
 
@@ -7,23 +7,24 @@
 
 from .fleet.members import MESH_LIMIT
 
-# Room for a gateway with nothing under way, and for each request under way.
+# Memory of an idle gateway, and of each active request.
 _BASE_MEMORY_MB = 80.0
 _REQUEST_MEMORY_MB = 0.1
-# Descriptors for files, listening sockets and calls of the store, as the platform
-# counts; of the others each request under way takes one beside its client's.
+# Descriptors of files, listening sockets and connections to the store, as counted by
+# the platform. The rest is divided between client connections and active requests, each
+# of which takes one descriptor in addition to that of its client connection.
 _OTHER_DESCRIPTOR_COUNT = 200
 _CLIENTS_RATIO = 0.65
 _MIN_INFLIGHT_COUNT = 64
-# Each takes two descriptors, of which the smallest hosts have 4,000.
+# An active request takes two descriptors, and the smallest hosts have 4,000.
 _MAX_INFLIGHT_COUNT = 1_200
 
 
 class Listen(msgspec.Struct, frozen=True):
     """Addresses, each ``IP:PORT``.
 
-    ``fleet`` serves the view of the world to other gateways over HTTP;
-    ``reports`` takes their datagrams. Both ports are the same fleet-wide.
+    ``fleet`` is the HTTP address at which other gateways fetch the view, and
+    ``reports`` receives their datagrams. Both ports are the same fleet-wide.
     """
 
     clients: str
@@ -34,12 +35,12 @@
 
 
 class Store(msgspec.Struct, frozen=True):
-    """The platform's store; times in seconds.
+    """The platform's store; times are in seconds unless their name has a unit.
 
-    ``poll`` is how long a call waits for a record, ``quarantine_poll`` the same for
-    quarantines, which gateways tell each other first: each call has its price.
-    ``change_within_ms`` is the time in milliseconds after which a configuration that
-    the store has acknowledged must be in force.
+    ``poll`` is the time that a read waits for a record. ``quarantine_poll`` is that of
+    quarantines; it is longer because each call has a cost and gateways report
+    quarantines to each other first. ``change_within_ms`` is the time in milliseconds
+    within which a configuration acknowledged by the store must be in force.
     """
 
     address: str
@@ -50,7 +51,7 @@
 
 
 class Retries(msgspec.Struct, frozen=True):
-    """The fleet's budget of repeated sends, see `retries.RetryBudget`."""
+    """The fleet's retry budget, see `retries.RetryBudget`."""
 
     ratio: float = 0.1
     slack: float = 10.0
@@ -58,33 +59,37 @@
 
 
 class Stop(msgspec.Struct, frozen=True):
-    """How a planned stop goes, in seconds."""
+    """Times of a planned stop, in seconds.
+
+    The process ends within ``grace``. It accepts all requests for ``balancer_wait``,
+    until the balancer sends no more connections.
+    """
 
     grace: float = 10.0
     balancer_wait: float = 2.6
 
 
 class Sharing(msgspec.Struct, frozen=True):
-    """How capacity is shared; ``window`` in seconds."""
+    """Sharing of capacity; ``window`` is in seconds."""
 
     window: float = 4.0
 
 
 class Upstreams(msgspec.Struct, frozen=True):
-    """What holds for upstreams.
+    """Rules on upstreams.
 
     ``leave_within_ms`` is the time in milliseconds after which a leaving
-    upstream must get no more new work.
+    upstream must get no new requests.
     """
 
     leave_within_ms: float = 2000.0
 
 
 class SlowStart(msgspec.Struct, frozen=True):
-    """Bound on the requests that one warming upstream gets within a second.
+    """Limit on the requests per second to one warming upstream.
 
-    It is ``factor`` times the rate that the upstream's service declares, and
-    ``slack`` more.
+    It is ``factor`` times the rate that the upstream's service declares, plus
+    ``slack``.
     """
 
     factor: float = 1.0
@@ -92,56 +97,56 @@
 
 
 class Reporting(msgspec.Struct, frozen=True):
-    """How gateways report to each other.
+    """Reports between gateways.
 
-    Above ``mesh_limit`` gateways reports and views of the store go through relays.
-    It has to be the same at all of them.
+    With more than ``mesh_limit`` gateways, reports and views of the store go through
+    relays. All gateways must have the same limit.
     """
 
     mesh_limit: int = MESH_LIMIT
 
 
 class Processor(msgspec.Struct, frozen=True):
-    """What this host may use: a part of a core, and how many there are."""
+    """Processor limit of this host: the share of each core, and the number of cores."""
 
     share: float = 1.0
     cores: float = 1.0
 
     @property
     def capacity(self):
-        """Return the processor in cores."""
+        """Return the processor limit in cores."""
         return self.share * self.cores
 
 
 class Memory(msgspec.Struct, frozen=True):
-    """What this process may use, in megabytes."""
+    """Memory limit of this process in megabytes."""
 
     limit_mb: float = 256.0
 
 
 class Descriptors(msgspec.Struct, frozen=True):
-    """How many descriptors this process may have open."""
+    """Limit on the open file descriptors of this process."""
 
     limit: int = 4096
 
     @property
     def max_clients(self):
-        """Return how many connections of clients may be open."""
+        """Return the maximum number of open client connections."""
         return int((self.limit - _OTHER_DESCRIPTOR_COUNT) * _CLIENTS_RATIO)
 
 
 class Streams(msgspec.Struct, frozen=True):
-    """How streams are passed on.
+    """Forwarding of streams.
 
-    ``max_delay_ms`` is the longest that an event may be held on its way, in
-    milliseconds; events that follow each other closely go out together.
+    ``max_delay_ms`` is the maximum delay of an event in milliseconds; events in quick
+    succession are sent together.
     """
 
     max_delay_ms: float = 100.0
 
 
 class GatewaySettings(msgspec.Struct, frozen=True):
-    """Settings of one gateway; ``regions`` names the region of each domain."""
+    """Settings of one gateway; ``regions`` has the region of each failure domain."""
 
     host: str
     domain: str
@@ -162,13 +167,13 @@
 
     @property
     def max_inflight(self):
-        """Return how many requests may be under way."""
+        """Return the maximum number of active requests."""
         by_memory = (self.memory.limit_mb - _BASE_MEMORY_MB) / _REQUEST_MEMORY_MB
         return int(min(_MAX_INFLIGHT_COUNT, max(_MIN_INFLIGHT_COUNT, by_memory)))
 
 
 class SettingsFile:
-    """A file that holds a gateway's settings, and may change at any time."""
+    """A file with a gateway's settings, which may change at any time."""
 
     def __init__(self, path):
         self._path = Path(path)
@@ -176,19 +181,20 @@
 
     def load(self):
         """Return the `GatewaySettings` in the file; raises `SettingsError`."""
-        # Before reading: a change meanwhile is then seen as one.
+        # Read before the content, so that a change during the read is detected.
         self._file_version = self._get_file_version()
         return load_settings(self._path)
 
     def has_changed(self):
-        """Return whether the file is another than when it was last read."""
+        """Return whether the file has changed since it was last read."""
         return self._get_file_version() != self._file_version
 
     def _get_file_version(self):
         try:
             stat = self._path.stat()
         except OSError:
-            # It may be on its way to its place; reading it will tell.
+            # The file may be in the middle of being replaced. If not, reading it reports
+            # the error.
             return None
         return (stat.st_ino, stat.st_mtime_ns, stat.st_size)
 
@@ -213,7 +219,8 @@
 
 
 def _parse_with_comments(data, path):
-    # Imported only here: a filled template has no comments, and starts faster.
+    # Imported only when needed, as a filled template has no comments and the gateway
+    # starts faster without the import.
     import json5
 
     try:
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -1,4 +1,4 @@
-"""What the parts of one gateway share."""
+"""State shared by the components of one gateway."""
 
 import asyncio
 import collections
@@ -36,17 +36,18 @@
 from .view.evacuations import Evacuations
 from .view.lapsed_records import LapsedRecords
 
-# As many as an upstream or two run at a time; older ones are left out.
+# The requests that one or two upstreams run at a time, as an upstream that ends leaves
+# one notice per request. Older notices are discarded.
 _MAX_NOTICE_COUNT = 200
 
 
 class GatewayState:
     """State of one gateway.
 
-    The catalog is replaced whole and never changed, so that a request reads
-    it once and works on one version to its end. Every age, deadline and window is on
-    ``clock``, which also counts the time in which the host was suspended: what passes
-    for others passes for this gateway.
+    The catalog is replaced as a whole and never modified, so that a request reads it
+    once and uses a single version throughout. Every age, deadline and window uses
+    ``clock``, which also counts the time in which the host was suspended, because that
+    time passes for clients, upstreams and peers too.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         self.timers = TimerService(clock)
         self.rng = random.Random(seed)
         self.catalog = None
-        # Since when it is in force, None for never.
+        # When the current catalog came into force, None before the first one.
         self.catalog_since = None
         self.directory = Directory()
         self.directory_known = False
@@ -88,14 +89,14 @@
             cfg.reporting.mesh_limit,
         )
         self.freshness = Freshness()
-        # For the log: what was last taken into the view, by topic.
+        # The last `view_source.ViewUpdate` by topic, for the log.
         self.taken = {}
         self.catalog_topic = None
         self.instance_topic = None
         self.reads_store = False
-        # This gateway's own record in the list of members, None where it has none.
+        # This gateway's own record in the members topic, None if it has none.
         self.member_record = None
-        # Set where a report shows a view that is newer than ours.
+        # Set when a peer's report shows that its view is newer than this gateway's.
         self.newer_view = threading.Event()
         self.usage = UsageWindow(cfg.sharing.window)
         self.shares = Shares(self.usage, cfg.sharing)
@@ -106,9 +107,9 @@
         self.quarantine = Quarantine()
         self.quarantine_offset = 0
         self.quarantine_known = False
-        # Set by the gateway, as it writes to the store.
+        # Set by `gateway.Gateway`, because it writes through the store of the adapter.
         self.quarantine_store = None
-        # `crash_attribution.Notice` of this gateway that peers are not told yet.
+        # The `crash_attribution.Notice` of this gateway not yet queued for its peers.
         self.notices = collections.deque(maxlen=_MAX_NOTICE_COUNT)
         retries = cfg.retries
         self.retries = RetryBudget(retries.ratio, retries.slack, retries.window)
@@ -125,18 +126,18 @@
 
     @property
     def inflight(self):
-        """Return how many requests are read and not answered."""
+        """Return the number of requests that are read and not yet answered."""
         return self._inflight
 
     @property
     def knows_all(self):
-        """Return whether it has a whole view of every topic that requests need."""
+        """Return whether the view of every topic that requests need is complete."""
         known = self.catalog_known and self.directory_known and self.quarantine_known
         return self.catalog is not None and known
 
     @property
     def view_offsets(self):
-        """Return how far configuration, instances and quarantines are known."""
+        """Return the known offsets of configuration, instances and quarantines."""
         return (self.catalog_offset, self.directory_offset, self.quarantine_offset)
 
     def get_pressure(self):
@@ -145,7 +146,7 @@
         return max(self.pressure.level, occupancy)
 
     def is_ready(self):
-        """Return whether the balancer should send clients here."""
+        """Return whether the balancer should send clients to this gateway."""
         if not self.knows_all or self.stopping:
             return False
         now = self.clock()
@@ -154,11 +155,11 @@
         return not self.overload.check(max(level, self.get_pressure()), now)
 
     def note_store_heard(self, topic, as_of):
-        """Note that the store's answers on a topic are whole as of a time."""
+        """Record that the store's responses on a topic are complete as of a time."""
         self.freshness.note_answer(topic, as_of)
 
     def note_taken(self, topic, taken):
-        """Note what was taken into the view of a topic."""
+        """Record the last `view_source.ViewUpdate` of a topic."""
         self.taken[topic] = taken
 
     def enter(self):
@@ -172,7 +173,7 @@
             self._inflight -= 1
 
     def put_catalog(self, catalog):
-        """Put a catalog in force; return False, unchanged, for an older one."""
+        """Put a catalog in force; ignore it and return False if it is not newer."""
         with self._lock:
             if self.catalog is not None and catalog.version <= self.catalog.version:
                 return False
