--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -128,7 +128,8 @@
         state.stopping = True
         state.log.note("stopping", inflight=state.inflight)
         end = started + stop.grace - _GRACE_MARGIN_S
-        # New connections arrive until the balancer detects that this gateway is not ready.
+        # New connections arrive until the balancer detects that the gateway is not
+        # ready.
         self._wait(min(end, started + stop.balancer_wait), lambda: False)
         # A stream accepted after this point might outlast the grace period.
         state.stop_end = end - _GRACE_MARGIN_S
--- a/packages/valeweir_gateway/src/valeweir_gateway/settings.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/settings.py
@@ -193,8 +193,7 @@
         try:
             stat = self._path.stat()
         except OSError:
-            # The file may be in the middle of being replaced. If not, reading it reports
-            # the error.
+            # The file may be in the middle of being replaced; reading it raises errors.
             return None
         return (stat.st_ino, stat.st_mtime_ns, stat.st_size)
 
