--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -158,9 +158,9 @@
         """Record that the store's responses on a topic are complete as of a time."""
         self.freshness.note_answer(topic, as_of)
 
-    def note_taken(self, topic, taken):
+    def note_taken(self, topic, update):
         """Record the last `view_source.ViewUpdate` of a topic."""
-        self.taken[topic] = taken
+        self.taken[topic] = update
 
     def enter(self):
         """Count a request as in flight."""
