--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -131,7 +131,8 @@
         # New connections arrive until the balancer detects that the gateway is not
         # ready.
         self._wait(min(end, started + stop.balancer_wait), lambda: False)
-        # A stream accepted after this point might outlast the grace period.
+        # From now on only requests that end by this time are accepted; a stream might
+        # outlast the grace period.
         state.stop_end = end - _GRACE_MARGIN_S
         state.refusing = True
         self._wait(min(end, state.clock() + _LAST_REQUESTS_WAIT_S), lambda: False)
--- a/packages/valeweir_gateway/src/valeweir_gateway/process_pauses.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/process_pauses.py
@@ -5,7 +5,7 @@
 
 import collections
 
-# Delay of a tick that does not count as a pause.
+# Largest delay of a tick that does not count as a pause.
 _MAX_LATENESS_S = 0.13
 _DEFAULT_INTERVAL_S = 0.02
 # Time for which a pause is kept after its end.
@@ -56,9 +56,9 @@
         return self._total + self._get_current(self._clock())
 
     def get_lately(self, within):
-        """Return the seconds of all pauses that ended within the last seconds.
+        """Return the seconds of all pauses that ended in the last ``within`` seconds.
 
-        At most the last 2 seconds are covered. A current pause counts as ending now.
+        Pauses are kept for 2 seconds only. A current pause counts as ending now.
         """
         now = self._clock()
         recent = sum(row[1] for row in list(self._recent) if now - row[0] < within)
