--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/pause_recovery.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/pause_recovery.py
@@ -29,8 +29,8 @@
         return False
     if state.members.is_mesh:
         # A gateway that reads the store receives changes at once, except in a pause.
-        return state.stalls.get_lately(_READER_WINDOW_S) > max_age
-    return age - state.stalls.get_lately(_MAX_WAIT_S) <= max_age
+        return state.pause_detector.get_recent_total(_READER_WINDOW_S) > max_age
+    return age - state.pause_detector.get_recent_total(_MAX_WAIT_S) <= max_age
 
 
 async def wait_for_view(state):
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_checks.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_checks.py
@@ -80,7 +80,7 @@
 def _record_reserved_headers(state, ctx):
     """Count and log headers that clients may not set; they are not forwarded."""
     reserved = [name.lower() for name in ctx.request.headers]
-    reserved = [name for name in reserved if name in state.own_headers]
+    reserved = [name for name in reserved if name in state.reserved_headers]
     if not reserved:
         return
     for name in reserved:
@@ -111,7 +111,7 @@
 
     A call ends by its deadline, but a stream lasts as long as its client allows.
     """
-    return ctx.route.kind is not RouteKind.STREAM and ctx.deadline < state.stop_end
+    return ctx.route.kind is not RouteKind.STREAM and ctx.deadline < state.stop_deadline
 
 
 def _choose_service(state, route):
--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -54,7 +54,7 @@
         self.stopped = threading.Event()
         self.timers = state.timers
         self._store = adapter.store
-        self._clients = clients
+        self._client_server = clients
         self._ready_server = ready
         listen = state.cfg.listen
         self._fleet = create_fleet(state, listen.reports)
@@ -72,7 +72,7 @@
             ),
         )
         self._loop = create_loop(state.clock)
-        self._sync = ViewSync(
+        self._view_sync = ViewSync(
             state,
             self._followers,
             int(listen.fleet.rpartition(":")[2]),
@@ -94,7 +94,7 @@
         self._add_seeds()
         for follower in self._followers:
             follower.start(self.stopped)
-        self._sync.start(self.stopped)
+        self._view_sync.start(self.stopped)
         self._publisher.start(self.stopped)
         state.quarantine_store.start(self.stopped)
         self._cache_discovery.start(self.stopped)
@@ -133,7 +133,7 @@
         self._wait(min(end, started + stop.balancer_wait), lambda: False)
         # From now on only requests that end by this time are accepted; a stream might
         # outlast the grace period.
-        state.stop_end = end - _GRACE_MARGIN_S
+        state.stop_deadline = end - _GRACE_MARGIN_S
         state.refusing = True
         self._wait(min(end, state.clock() + _LAST_REQUESTS_WAIT_S), lambda: False)
         self._wait(end, lambda: state.inflight == 0)
@@ -188,7 +188,7 @@
         for server in (
             self._fleet_server,
             self._metrics_server,
-            self._clients,
+            self._client_server,
             self._ready_server,
         ):
             if server is not None:
@@ -197,7 +197,7 @@
     async def _close_servers(self):
         for server in (
             self._ready_server,
-            self._clients,
+            self._client_server,
             self._fleet_server,
             self._metrics_server,
         ):
@@ -219,7 +219,7 @@
         gauges.inflight.set(state.inflight)
         gauges.waiting.set(len(state.intake))
         gauges.wait.set(state.intake.estimate_wait())
-        gauges.connections.set(len(self._clients))
+        gauges.connections.set(len(self._client_server))
         gauges.catalog_version.set(state.catalog.version if state.catalog else 0)
         gauges.suspects.set(len(state.suspects))
         gauges.quarantined.set(len(state.quarantine))
@@ -253,10 +253,10 @@
         if catalog is None:
             return
         limits = catalog.limits
-        self._clients.max_header = limits.header_bytes
-        self._clients.max_body = limits.body_bytes
-        self._clients.header_timeout = limits.header_timeout
-        self._clients.idle_timeout = limits.idle_timeout
+        self._client_server.max_header = limits.header_bytes
+        self._client_server.max_body = limits.body_bytes
+        self._client_server.header_timeout = limits.header_timeout
+        self._client_server.idle_timeout = limits.idle_timeout
 
 
 def create_gateway(cfg, adapter, log=None, clock=get_lease_time):
--- a/packages/valeweir_gateway/src/valeweir_gateway/process_pauses.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/process_pauses.py
@@ -14,7 +14,7 @@
 _MIN_LOGGED_S = 0.5
 
 
-class Stalls:
+class PauseDetector:
     """Measures pauses as gaps between ticks.
 
     A single thread calls `tick`; the other methods may be called from any thread.
@@ -55,7 +55,7 @@
         """Return the seconds of all pauses since the start, including a current one."""
         return self._total + self._get_current(self._clock())
 
-    def get_lately(self, within):
+    def get_recent_total(self, within):
         """Return the seconds of all pauses that ended in the last ``within`` seconds.
 
         Pauses are kept for 2 seconds only. A current pause counts as ending now.
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -26,7 +26,7 @@
 from .placement.domains import DomainFailures
 from .placement.loads import Loads, Reads
 from .placement.slow_start import SlowStart, create_gateway_counter
-from .process_pauses import Stalls
+from .process_pauses import PauseDetector
 from .quarantine.crashes import Suspects
 from .quarantine.records import Quarantine
 from .transport.headers import HeaderNames, get_own_headers, get_replaced_headers
@@ -82,7 +82,7 @@
         self.patience = ClientDeadlines()
         self.pressure = ProcessorPressure(log)
         self.overload = OverloadDetector(log)
-        self.stalls = Stalls(clock, log.note)
+        self.pause_detector = PauseDetector(clock, log.note)
         self.domains = DomainFailures(cfg.domain)
         self.members = Members(
             Member(cfg.host, cfg.domain, cfg.listen.reports, cfg.processor.capacity),
@@ -118,10 +118,10 @@
         )
         self.stopping = False
         self.refusing = False
-        self.stop_end = 0.0
+        self.stop_deadline = 0.0
         self._inflight = 0
         self._lock = threading.Lock()
-        self.own_headers = get_own_headers(names)
+        self.reserved_headers = get_own_headers(names)
         self.replaced_headers = get_replaced_headers(names)
 
     @property
@@ -130,7 +130,7 @@
         return self._inflight
 
     @property
-    def knows_all(self):
+    def is_view_complete(self):
         """Return whether the view of every topic that requests need is complete."""
         known = self.catalog_known and self.directory_known and self.quarantine_known
         return self.catalog is not None and known
@@ -147,18 +147,18 @@
 
     def is_ready(self):
         """Return whether the balancer should send clients to this gateway."""
-        if not self.knows_all or self.stopping:
+        if not self.is_view_complete or self.stopping:
             return False
         now = self.clock()
         wait = self.intake.estimate_wait()
         level = get_intake_level(wait, self.latency_targets.get_min_target(now))
         return not self.overload.check(max(level, self.get_pressure()), now)
 
-    def note_store_heard(self, topic, as_of):
+    def record_store_response(self, topic, as_of):
         """Record that the store's responses on a topic are complete as of a time."""
         self.freshness.note_answer(topic, as_of)
 
-    def note_taken(self, topic, update):
+    def record_view_update(self, topic, update):
         """Record the last `view_source.ViewUpdate` of a topic."""
         self.taken[topic] = update
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/topic_followers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/topic_followers.py
@@ -32,7 +32,7 @@
         apply,
         on_merged=ignore,
         is_wanted=read_policy.reads_store,
-        on_complete=state.note_store_heard,
+        on_complete=state.record_store_response,
         poll=read_policy.get_poll,
         on_recovered=state.lapses.mark_store_recovered,
         wait_until_wanted=read_policy.wait_until_reading,
@@ -50,8 +50,8 @@
             is_wanted,
             on_complete,
             on_recovered,
-            state.note_taken,
-            state.stalls.get_total,
+            state.record_view_update,
+            state.pause_detector.get_total,
             wait_until_wanted,
             is_done,
             rank,
@@ -101,7 +101,7 @@
 
     def handle(request, reply):
         # A peer assumes that the returned view is complete.
-        if request.path != VIEW_PATH or not state.knows_all:
+        if request.path != VIEW_PATH or not state.is_view_complete:
             reply.send(404, [], b"")
             return
         now = state.clock()
