--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -67,7 +67,7 @@
         self.catalog_since = None
         self.directory = Directory()
         self.directory_known = False
-        self.lapses = LapsedRecords(cfg.upstreams.leave_within_ms / 1000.0)
+        self.lapsed_records = LapsedRecords(cfg.upstreams.leave_within_ms / 1000.0)
         self.members_known = False
         self.directory_offset = 0
         self.catalog_offset = 0
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/topic_followers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/topic_followers.py
@@ -34,7 +34,7 @@
         is_wanted=read_policy.reads_store,
         on_complete=state.record_store_response,
         poll=read_policy.get_poll,
-        on_recovered=state.lapses.mark_store_recovered,
+        on_recovered=state.lapsed_records.mark_store_recovered,
         wait_until_wanted=read_policy.wait_until_reading,
         is_done=lambda: False,
         rank=lambda entry: None,
@@ -111,7 +111,7 @@
         data = encode_view(
             make_topic_view(followers.catalog, _get_offset(request, "catalog")),
             make_topic_view(followers.instances, _get_offset(request, "instances")),
-            state.lapses.get_age(now),
+            state.lapsed_records.get_age(now),
             -1.0 if age is None else age,
             make_topic_view(followers.quarantine, _get_offset(request, "quarantine")),
         )
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/view_sync.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/view_sync.py
@@ -178,7 +178,9 @@
             # Counted from the arrival of the answer, the recovery of the store would
             # move to a later time with each exchange of views, and extend the time for
             # which removed records are retained.
-            self._state.lapses.mark_store_recovered(requested_at - view.regained_age)
+            self._state.lapsed_records.mark_store_recovered(
+                requested_at - view.regained_age
+            )
         merge_topic_view(self._catalog, view.catalog, source)
         merge_topic_view(self._instances, view.instances, source)
         merge_topic_view(self._quarantine, view.quarantine, source)
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -169,7 +169,9 @@
     def remove_expired(self):
         """Remove instances whose records were not renewed in time."""
         with self._lock:
-            for instance_id in self._state.lapses.pop_expired(self._state.clock()):
+            for instance_id in self._state.lapsed_records.pop_expired(
+                self._state.clock()
+            ):
                 old = self._state.directory.remove(instance_id)
                 if old is not None:
                     self._discard_state(
@@ -183,7 +185,7 @@
         known = self._find_instance(entry.key)
         if known is None:
             return
-        until = state.lapses.retain(known, now)
+        until = state.lapsed_records.retain(known, now)
         if until is None:
             self._remove_instance(known, entry.offset, "upstream gone")
             return
@@ -192,7 +194,7 @@
             "upstream lapsed",
             upstream=known.id,
             offset=entry.offset,
-            store_back_s=round(state.lapses.get_age(now), 3),
+            store_back_s=round(state.lapsed_records.get_age(now), 3),
             used_for_s=round(until - now, 3),
         )
 
@@ -217,11 +219,11 @@
             return
         if earlier is not None and earlier.id != instance.id:
             # The new incarnation has no caches or requests of the earlier one.
-            state.lapses.stop_retaining(earlier.id)
+            state.lapsed_records.stop_retaining(earlier.id)
             self._remove_instance(earlier, entry.offset, "upstream restarted")
         self._ids_by_key[entry.key] = instance.id
         old = state.directory.by_id.get(instance.id)
-        was_retained = state.lapses.stop_retaining(instance.id)
+        was_retained = state.lapsed_records.stop_retaining(instance.id)
         if _is_unchanged(old, instance) and not was_retained:
             return
         # Before the instance is in the directory and can get requests.
@@ -249,7 +251,7 @@
         """
         known = self._find_instance(entry.key)
         if known is not None:
-            self._state.lapses.stop_retaining(known.id)
+            self._state.lapsed_records.stop_retaining(known.id)
             self._remove_instance(known, entry.offset, "upstream record spoilt")
 
     def apply_member(self, entry):
