--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -90,7 +90,7 @@
         )
         self.freshness = Freshness()
         # The last `view_source.ViewUpdate` by topic, for the log.
-        self.taken = {}
+        self.view_updates = {}
         self.catalog_topic = None
         self.instance_topic = None
         self.reads_store = False
@@ -160,7 +160,7 @@
 
     def record_view_update(self, topic, update):
         """Record the last `view_source.ViewUpdate` of a topic."""
-        self.taken[topic] = update
+        self.view_updates[topic] = update
 
     def enter(self):
         """Count a request as in flight."""
--- a/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
@@ -46,7 +46,7 @@
         "view_age_s": None if age is None else round(age, 3),
         "reads_store": state.reads_store,
     }
-    update = state.taken.get(state.instance_topic)
+    update = state.view_updates.get(state.instance_topic)
     if update is not None:
         fields["view_from"] = update.source
         fields["view_listed"] = update.is_listing
@@ -58,7 +58,7 @@
     """Return log fields on the configuration used for a decision, and on its age."""
     age = state.freshness.get_age(now)
     since = state.catalog_since
-    update = state.taken.get(state.catalog_topic)
+    update = state.view_updates.get(state.catalog_topic)
     peers = state.members.get_live(now)
     return {
         "peers_version": max(
