--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/pause_recovery.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/pause_recovery.py
@@ -40,6 +40,6 @@
         return
     waited = 0.0
     while waited < _MAX_WAIT_S and is_view_stale(state, started + waited):
-        await state.pause(_POLL_S)
+        await state.sleep(_POLL_S)
         waited = state.clock() - started
     state.metrics.view_waits.observe(waited)
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -51,7 +51,7 @@
     """
 
     def __init__(
-        self, cfg, log, names=None, clock=get_lease_time, seed=None, pause=asyncio.sleep
+        self, cfg, log, names=None, clock=get_lease_time, seed=None, sleep=asyncio.sleep
     ):
         names = names or HeaderNames()
         self.cfg = cfg
@@ -59,7 +59,7 @@
         self.metrics = GatewayMetrics()
         self.names = names
         self.clock = clock
-        self.pause = pause
+        self.sleep = sleep
         self.timers = TimerService(clock)
         self.rng = random.Random(seed)
         self.catalog = None
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
@@ -35,7 +35,7 @@
         if failure is not None:
             return failure
         if blocks and not exchange.is_over:
-            await state.pause(rest)
+            await state.sleep(rest)
 
 
 async def _pass_on(ctx, head, blocks):
