--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/__init__.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP with clients and upstreams: servers, parsers, replies and sockets.
+"""HTTP servers, parsers, response writers and socket options.
 
-Imports nothing else of the gateway.
+This package imports no other package of the gateway.
 """
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/answers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/answers.py
@@ -1,42 +1,42 @@
-"""Answers of upstreams, parsed strictly."""
+"""Strict parser for the HTTP responses of upstreams."""
 
 import collections
 from typing import NamedTuple
 
 import httptools
 
-# Bytes of a head, its fields included; what the reader before this one allowed.
+# Limits the status line and the headers together, as the previous parser did.
 _MAX_HEAD_BYTES = 64 << 10
 _CHUNKED = "chunked"
 _BODILESS_STATUSES = frozenset((204, 304))
-# Statuses below are of informational answers.
+# Lower status codes belong to informational responses.
 _MIN_FINAL_STATUS = 200
 
 
 class Head(NamedTuple):
-    """Status and headers of an answer, names in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
 
 
 class Data(NamedTuple):
-    """Bytes of the answer's body."""
+    """Part of the response body."""
 
     data: bytes
 
 
 class End(NamedTuple):
-    """The answer is whole."""
+    """End of a complete response."""
 
 
 class AnswerParser:
-    """Turns the bytes of one connection into the events of one answer.
+    """Parses the bytes of one connection into the events of one response.
 
-    ``fault`` says what is wrong with the bytes, "" for nothing, and ``broke_off``
-    whether it is that they end too soon. After the end
-    nothing more is taken: such bytes belong to no request, and ``is_clean``
-    tells whether there were none and the connection may go on.
+    ``fault`` describes the parse error and is "" if there is none; ``broke_off`` is
+    true if the connection was closed before the response was complete. Bytes after
+    the end of the response are ignored because they belong to no request;
+    ``is_clean`` is false if there were any, and the connection cannot be reused.
     """
 
     def __init__(self):
@@ -54,17 +54,17 @@
         self.broke_off = False
 
     def expect(self, method):
-        """Note the method of the request, since it decides on the body."""
+        """Set the request method, which determines whether a body follows."""
         self._is_head_request = method == "HEAD"
 
     @property
     def has_data(self):
-        """Return whether the next event is data."""
+        """Return whether the next event is `Data`."""
         return bool(self._events) and isinstance(self._events[0], Data)
 
     @property
     def is_over(self):
-        """Return whether what comes next is the end or a fault."""
+        """Return whether the next event is `End`, or no event is left after a fault."""
         if self._events:
             return isinstance(self._events[0], End)
         return bool(self.fault)
@@ -80,11 +80,11 @@
         )
 
     def take(self):
-        """Return the next event, or None."""
+        """Remove and return the next event, or None if there is none."""
         return self._events.popleft() if self._events else None
 
     def feed(self, data):
-        """Take in bytes as received; empty ones are the end of the connection."""
+        """Parse received bytes; empty bytes mean that the connection was closed."""
         if not data:
             self._on_connection_closed()
             return
@@ -92,11 +92,11 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._set_fault("the protocol was changed")
+            self._set_fault("the response switches protocols")
         except httptools.HttpParserError as exc:
             self._set_fault(str(exc))
 
-    def on_message_begin(self):  # noqa: D102  (names are the parser's)
+    def on_message_begin(self):  # noqa: D102  (httptools calls these names)
         if self._is_complete:
             self._has_extra_bytes = True
 
@@ -114,7 +114,7 @@
         self._has_head = True
         encoding = self._headers.get("transfer-encoding")
         if encoding is not None and encoding.lower() != _CHUNKED:
-            self._set_fault(f"unknown transfer encoding {encoding}")
+            self._set_fault(f"unsupported Transfer-Encoding: {encoding}")
             return
         self._is_self_delimited = (
             self._is_head_request
@@ -124,7 +124,7 @@
         )
         self._events.append(Head(status, self._headers))
         if self._is_head_request:
-            # The parser would wait for the body that the length announces.
+            # httptools would wait for a body of the length in Content-Length.
             self._finish(keep_alive=False)
 
     def on_body(self, part):  # noqa: D102
@@ -135,7 +135,7 @@
         if self._is_complete:
             return
         if not self._has_head:
-            # An informational answer; the final one follows.
+            # This was an informational response; the final one follows.
             self._headers = {}
             return
         self._finish(
@@ -146,17 +146,17 @@
         if self._is_complete or self.fault:
             return
         if self._has_head and not self._is_self_delimited:
-            # Its length was not told: it ends with the connection.
+            # A response without a length ends when the connection is closed.
             self._finish(keep_alive=False)
             return
         self.broke_off = True
-        self._set_fault("the connection was closed")
+        self._set_fault("the connection was closed before the response was complete")
 
     def _check_head_size(self, size):
         if not self._has_head:
             self._head_size += size
             if self._head_size > _MAX_HEAD_BYTES:
-                self._set_fault("the head is too large")
+                self._set_fault("the response head is too large")
 
     def _finish(self, keep_alive):
         self._is_complete = True
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/clients.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/clients.py
@@ -1,7 +1,7 @@
-"""One connection of a client: reads its requests, answers them in turn.
+"""A client's connection, whose requests are served in order.
 
-It stays registered with the loop while its request is served, so that a client that
-leaves is seen at once, at no cost for those that stay.
+The socket stays registered with the event loop while a request is served, so a
+disconnect is detected at once and costs nothing for the other connections.
 """
 
 import asyncio
@@ -14,13 +14,13 @@
 from .requests import BadRequest, RequestParser
 from .waiting import set_result_if_pending
 
-# Whole requests of one connection that wait for the one before them.
+# Limits the complete requests of one connection that wait for an earlier one.
 _MAX_PIPELINED_REQUEST_COUNT = 8
 _CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection; its task serves the requests one after the other."""
+    """Protocol of a client's connection; one task serves its requests in order."""
 
     def __init__(self, server):
         self._server = server
@@ -72,26 +72,26 @@
 
     @property
     def closes_after_response(self):
-        """Return whether so many are open that this one should end soon."""
+        """Return whether the connection should be closed after the next response."""
         return self._server.closes_after_response
 
     @property
     def is_idle(self):
-        """Return whether nothing of a request has come that is not answered."""
+        """Return whether no request is being received, queued or served."""
         return not (self._is_serving or self._requests or self._parser.is_reading)
 
     @property
     def is_write_paused(self):
-        """Return whether bytes wait for the client to read."""
+        """Return whether written bytes are still buffered in this process."""
         return self._write_paused
 
     def write(self, data):
-        """Hand bytes to the network; never waits."""
+        """Write or buffer bytes without waiting."""
         if not self.is_disconnected:
             self._transport.write(data)
 
     async def drain(self):
-        """Wait until the client has read what was written; raises `ClientGone`."""
+        """Wait until the write buffer is empty; raises `ClientGone`."""
         while self._write_paused and not self.is_disconnected:
             self._drain_waiter = self._server.loop.create_future()
             await self._drain_waiter
@@ -99,11 +99,11 @@
             raise ClientGone
 
     def close(self):
-        """Close after what was written."""
+        """Close the connection after the buffered bytes are sent."""
         self._transport.close()
 
     async def serve(self):
-        """Serve requests until the connection ends; the body of its task."""
+        """Serve requests until the connection ends; runs as the connection's task."""
         while not self.is_disconnected:
             if not self._requests:
                 if self._fault is not None:
@@ -119,7 +119,7 @@
                 return
 
     async def _serve_request(self, request):
-        """Answer one request; return whether the connection goes on."""
+        """Serve one request; return whether the connection stays open."""
         reply = Reply(self, request)
         self._is_serving = True
         try:
@@ -135,21 +135,25 @@
         return reply.keep_alive and reply.ended
 
     def check_timeouts(self, now):
-        """End a connection that is idle, or sends its request too slowly."""
+        """Close the connection if it is idle or its request arrives too slowly."""
         if self._is_serving or self._requests or self._fault is not None:
             return
         idle_time = now - self.last_activity
         if self._parser.is_reading and not self._parser.is_in_body:
             if idle_time > self._server.header_timeout:
-                self._set_fault(BadRequest(408, "the head did not come in time"))
+                self._set_fault(
+                    BadRequest(408, "the request head was not received in time")
+                )
         elif idle_time > self._server.idle_timeout:
             if self._parser.is_reading:
-                self._set_fault(BadRequest(408, "the body did not come in time"))
+                self._set_fault(
+                    BadRequest(408, "the request body was not received in time")
+                )
             else:
                 self.close()
 
     def _set_fault(self, fault):
-        """Read nothing more; the fault is answered after the requests before it."""
+        """Stop reading; the error response follows those of the earlier requests."""
         self._fault = fault
         self._wake_serve()
 
@@ -162,7 +166,7 @@
             self._transport.write(_CONTINUE_RESPONSE)
 
     def _send_error(self, fault):
-        """Answer what cannot be read: nothing of it has run."""
+        """Send an error response that marks the malformed request as not run."""
         self._server.note_refusal(f"http-{fault.status}")
         body = msgspec.json.encode(
             {"error": {"code": f"http-{fault.status}", "message": fault.text}}
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/events.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events in a streamed answer, cut at their borders."""
+"""Splits a streamed response into server-sent events."""
 
 import re
 from typing import NamedTuple
@@ -8,25 +8,25 @@
 
 
 class EventBlock(NamedTuple):
-    """One whole event with its closing blank line; ``id`` is "" if it has none."""
+    """One complete event with its blank line; ``id`` is "" if it has none."""
 
     data: bytes
     id: str
 
 
 class EventSplitter:
-    """Collects bytes of a stream and gives back whole events."""
+    """Buffers the bytes of a stream and returns complete events."""
 
     def __init__(self):
         self._buffer = b""
 
     @property
     def has_rest(self):
-        """Return whether part of an event has come."""
+        """Return whether an incomplete event is buffered."""
         return bool(self._buffer)
 
     def feed(self, data):
-        """Take in bytes; return the events that are whole now."""
+        """Add received bytes; return the events that are now complete."""
         self._buffer += data
         blocks = []
         start = 0
@@ -38,13 +38,16 @@
         return blocks
 
     def take_rest(self):
-        """Return and forget what is not a whole event."""
+        """Remove and return the bytes of an incomplete event."""
         partial, self._buffer = self._buffer, b""
         return partial
 
 
 def is_later(event_id, last):
-    """Return whether an event follows the last one passed on; ids only rise."""
+    """Return whether an event is newer than the last forwarded one.
+
+    Numeric ids increase within a stream.
+    """
     if not last or not event_id:
         return True
     if event_id.isdigit() and last.isdigit():
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/headers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/headers.py
@@ -1,17 +1,17 @@
-"""Names of the headers that the gateway reads and writes."""
+"""Names of the HTTP headers that the gateway reads and writes."""
 
 from typing import NamedTuple
 
 
 class HeaderNames(NamedTuple):
-    """Header names; the defaults are the product's own.
+    """Header names, with Valeweir's own names as defaults.
 
-    ``fetch_from`` names an engine to take cached prompt parts from first,
-    ``expected_version`` the version of an engine's weights. ``hold`` is a lease
-    on a place and memory at an engine, ``pin`` keeps a prompt in its memory,
-    ``backup_to`` has a copy of that memory kept elsewhere, and ``resume_from``
-    goes on from such a copy. ``leaving`` is "1" in answers of an upstream that will
-    take no new work.
+    ``fetch_from`` names the engine from which cached prompt parts are fetched first,
+    and ``expected_version`` the version of an engine's weights. ``hold`` identifies a
+    lease on a slot and memory of an engine, ``pin`` keeps a prompt in its memory,
+    ``backup_to`` requests a copy of that memory on another engine, and
+    ``resume_from`` continues from such a copy. ``leaving`` is "1" in responses of an
+    upstream that accepts no new work.
     """
 
     request_id: str = "X-Request-Id"
@@ -51,8 +51,8 @@
 def get_own_headers(names):
     """Return, in lower case, the request headers that only the fleet may set.
 
-    Taken from a client they would name instances, leases and copies that do
-    not exist, or another client account.
+    If they were accepted from a client, they could name nonexistent instances, leases
+    and copies, or another client account.
     """
     own = (
         names.account,
@@ -68,6 +68,6 @@
 
 
 def get_replaced_headers(names):
-    """Return, in lower case, the request headers that are written anew."""
+    """Return, in lower case, the request headers that the gateway replaces."""
     replaced = (names.deadline, "Authorization", "Content-Length", "Expect")
     return get_own_headers(names) | {name.lower() for name in replaced}
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/replies.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/replies.py
@@ -1,4 +1,4 @@
-"""Answers to clients, whole or as streams."""
+"""Writes HTTP responses to clients, complete or as streams."""
 
 import http
 
@@ -10,11 +10,11 @@
 
 
 class ClientGone(OSError):
-    """The client has closed its side of the connection."""
+    """The client has closed the connection."""
 
 
 class Reply:
-    """Where a handler writes its answer; ``started`` once something is sent."""
+    """Writes the response to one request; ``started`` is set by the first write."""
 
     def __init__(self, conn, request):
         self._conn = conn
@@ -26,37 +26,37 @@
 
     @property
     def is_gone(self):
-        """Return whether the client has left."""
+        """Return whether the client has disconnected."""
         return self._conn.is_disconnected
 
     @property
     def keep_alive(self):
-        """Return whether the connection goes on after this answer."""
+        """Return whether the connection stays open after this response."""
         return self._keep_alive
 
     def watch(self, callback):
-        """Call ``callback`` when the client leaves; None ends the watch."""
+        """Call ``callback`` when the client disconnects; None removes the callback."""
         self._conn.on_disconnect = callback
 
     def send(self, status, headers, body):
-        """Send a whole answer with its length."""
+        """Send a complete response with a Content-Length."""
         self.started = self.ended = True
         framing = f"Content-Length: {len(body)}"
         data = encode_head(status, headers, framing, self._keep_alive)
         self._conn.write(data + body if self._has_body else data)
 
     def send_json(self, status, value, headers=(), content_type="application/json"):
-        """Send a value as JSON."""
+        """Send a complete response whose body is a value encoded as JSON."""
         body = msgspec.json.encode(value)
         self.send(status, [("Content-Type", content_type), *headers], body)
 
     def start_stream(self, status, headers):
-        """Begin an answer of unknown length; its head goes out with the first part."""
+        """Start a chunked response; its head is sent with the first part."""
         self.started = True
         self._head = encode_head(status, headers, _CHUNKED_FRAMING, self._keep_alive)
 
     async def flush(self):
-        """Wait until the client has read all of it; raises `ClientGone`."""
+        """Wait until the write buffer is empty; raises `ClientGone`."""
         if self._conn.is_write_paused:
             await self._conn.drain()
 
@@ -70,29 +70,32 @@
         await self.flush()
 
     def end(self):
-        """End a stream whose every part was sent."""
+        """Send the last chunk of a complete stream."""
         self.ended = True
         self._conn.write(self._head + _LAST_CHUNK)
         self._head = b""
 
     def cut(self):
-        """End the answer so that the client sees it is not whole."""
+        """Close the connection so that the client detects an incomplete response."""
         self.ended = True
         self._keep_alive = False
         self._conn.close()
 
     def drop(self):
-        """Close the connection without an answer."""
+        """Close the connection without a response."""
         self.started = True
         self.cut()
 
     def close(self):
-        """Close the connection after this answer."""
+        """Mark the connection to be closed after this response."""
         self._keep_alive = False
 
 
 def encode_head(status, headers, framing, keep_alive):
-    """Return the bytes of an answer's head; ``framing`` is the line on its length."""
+    """Return the bytes of a response head.
+
+    ``framing`` is the Content-Length or Transfer-Encoding line.
+    """
     lines = [f"HTTP/1.1 {status} {_get_reason_phrase(status)}"]
     lines += [f"{name}: {value}" for name, value in headers if _is_allowed(name)]
     lines.append(framing)
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/servers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/servers.py
@@ -1,6 +1,6 @@
-"""An HTTP server on the event loop: one task for each connection.
+"""An HTTP server on the event loop, with one task for each connection.
 
-asyncio moves the bytes and httptools parses them.
+asyncio reads and writes the sockets, and httptools parses the requests.
 """
 
 import asyncio
@@ -9,33 +9,34 @@
 from .clients import ClientConnection
 
 _BACKLOG_COUNT = 1_024
-# Connections accepted in one turn of the loop; more wait for the next.
+# Limits the connections accepted in one iteration of the event loop.
 _MAX_ACCEPT_COUNT = 16
-# Seconds until accepting is tried again where descriptors have run out.
+# Delays the next accept after an error, such as a lack of file descriptors.
 _ACCEPT_ERROR_PAUSE_S = 0.1
-# And where as many as may be open are; little beside latency targets.
+# Delays the next accept at the connection limit; short compared to latency targets.
 _CONNECTION_LIMIT_PAUSE_S = 0.01
-# Parts of the connections that may be open: from the first on connections end
-# with their answer, from the second on the longest idle are closed.
+# Above this ratio of ``max_connections`` connections are closed after a response.
 _MAX_KEEP_ALIVE_RATIO = 0.6
+# Above this ratio the connections that have been idle longest are closed.
 _MAX_IDLE_RATIO = 0.8
-# From this part on the balancer should send nobody new: who is ready accepts.
+# Above this ratio the gateway reports that it is not ready, so that the load balancer
+# sends no new clients: a ready gateway must be able to accept connections.
 _MAX_READY_RATIO = 0.95
-# Seconds between looks at idle and half-sent connections.
+# Interval between checks for idle connections and incomplete requests.
 _CHECK_INTERVAL_S = 0.25
 
 
 class Server:
-    """Serves ``handle(request, reply)``, a coroutine function, on one address.
+    """Calls the coroutine function ``handle(request, reply)`` for each request.
 
-    Limits are in bytes and seconds and may change while the server runs.
+    Limits are in bytes and seconds and may be changed while the server runs.
 
     Parameters
     ----------
     note_refusal : callable
-        Told the code of each request that cannot be read.
+        Called with a code for each malformed request and each failed accept.
     prepare_socket : callable
-        Sets options on each client's socket.
+        Called with each client's socket to set its options.
     """
 
     def __init__(self, address, handle, note_refusal, prepare_socket):
@@ -56,11 +57,11 @@
         self._tasks = set()
 
     def __len__(self):
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self._connections)
 
     async def start(self):
-        """Bind and serve from now on."""
+        """Bind the address and start accepting connections."""
         self.loop = asyncio.get_running_loop()
         host, _, port = self.address.rpartition(":")
         self._sock = socket.create_server((host, int(port)), backlog=_BACKLOG_COUNT)
@@ -74,37 +75,37 @@
             self._sock.close()
             self._sock = None
         if self._resume_timer is not None:
-            # It would listen on a socket that is closed.
+            # The timer would register the closed socket with the event loop.
             self._resume_timer.cancel()
         for conn in list(self._connections):
             conn.close()
 
     def add(self, conn):
-        """Count a new connection."""
+        """Add a new connection and schedule the timeout checks."""
         self._connections.add(conn)
         if not self._is_check_scheduled:
             self._is_check_scheduled = True
             self.loop.call_later(_CHECK_INTERVAL_S, self._check_connections)
 
     def remove(self, conn):
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
         self._connections.discard(conn)
 
     @property
     def is_full(self):
-        """Return whether hardly any new connection can be accepted."""
+        """Return whether the number of connections is close to its limit."""
         return len(self._tasks) > _MAX_READY_RATIO * self.max_connections
 
     @property
     def closes_after_response(self):
-        """Return whether connections should end with their answer."""
+        """Return whether connections should be closed after their next response."""
         return len(self._connections) > _MAX_KEEP_ALIVE_RATIO * self.max_connections
 
     def _accept_connections(self):
         for _ in range(_MAX_ACCEPT_COUNT):
             if len(self._tasks) >= self.max_connections:
-                # They wait in the queue of the host until others have ended; the
-                # loop would turn without end while it is told of them.
+                # New connections wait in the listen backlog. The socket stays
+                # readable, so the event loop would spin if it were registered.
                 self._pause_accepting(_CONNECTION_LIMIT_PAUSE_S)
                 return
             try:
@@ -112,7 +113,7 @@
             except BlockingIOError:
                 return
             except OSError as exc:
-                # The host gives no more descriptors for now.
+                # The process or the host has run out of file descriptors or memory.
                 self.note_refusal(f"not-accepted-{exc.errno}")
                 self._pause_accepting(_ACCEPT_ERROR_PAUSE_S)
                 return
@@ -125,13 +126,13 @@
         )
 
     async def _serve_socket(self, sock):
-        """Serve a new connection; the body of its task."""
+        """Serve a new connection; runs as the connection's task."""
         try:
             _, conn = await self.loop.connect_accepted_socket(
                 lambda: ClientConnection(self), sock
             )
         except OSError:
-            # The client has left already.
+            # The client has disconnected already.
             sock.close()
             return
         await conn.serve()
@@ -159,18 +160,18 @@
 def create_server(
     address, handle, note_refusal=lambda code: None, prepare_socket=lambda sock: None
 ):
-    """Return a `Server` that is bound and serves once it is started."""
+    """Return a `Server` that binds its address when it is started."""
     return Server(address, handle, note_refusal, prepare_socket)
 
 
 def create_plain_handler(handle, log):
-    """Return a coroutine function that answers by a function that never waits."""
+    """Return a coroutine function that calls a handler which never blocks."""
 
     async def call_handler(request, reply):
         try:
             handle(request, reply)
         except Exception as exc:
-            # A fault here must not leave the one who asks without an answer.
+            # The client must get a response even if the handler fails.
             log.note("side request failed", failed=True, why=repr(exc))
             reply.close()
             if not reply.started:
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/sockets.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/sockets.py
@@ -1,4 +1,4 @@
-"""Options that every TCP socket of the gateway gets."""
+"""Options of the gateway's TCP sockets, and helpers for sockets and addresses."""
 
 import ipaddress
 import select
@@ -11,7 +11,7 @@
 
 
 def prepare_socket(sock):
-    """Send at once, and notice within seconds a peer that has fallen silent."""
+    """Disable Nagle's algorithm and detect an unreachable peer within seconds."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_S)
@@ -21,7 +21,7 @@
 
 
 def is_readable(sock):
-    """Return whether bytes, or the end, of a socket wait to be read."""
+    """Return whether a read would return data or the end of the stream at once."""
     try:
         poller = select.poll()
         poller.register(sock, select.POLLIN)
@@ -31,13 +31,13 @@
 
 
 def connect_blocking(address, timeout):
-    """Return a new connected socket for a thread that may wait; raises OSError."""
+    """Return a new connected socket, blocking the thread; raises OSError."""
     host, _, port = address.rpartition(":")
     return socket.create_connection((host, int(port)), timeout)
 
 
 def is_address(text):
-    """Return whether a text is ``IP:PORT``, of IPv4."""
+    """Return whether a text is an IPv4 address and a port, ``IP:PORT``."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/waiting.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/waiting.py
@@ -1,11 +1,11 @@
-"""Waiting for a socket on the event loop, with an end and a client that may leave."""
+"""Waits for a socket on the event loop, with a deadline and client disconnects."""
 
 import asyncio
 from enum import Enum
 
 
 class Wake(Enum):
-    """Why a wait has ended: the socket is ready, the time is up, the client left."""
+    """Why a wait ended: socket ready, deadline passed or client disconnected."""
 
     READY = 1
     DUE = 2
@@ -13,14 +13,14 @@
 
 
 async def wait_for_socket(sock, deadline, client, reading=True, writing=False):
-    """Return the `Wake` that ends the wait for a non-blocking socket.
+    """Wait for a non-blocking socket; return the `Wake` that ended the wait.
 
     Parameters
     ----------
     until : float
-        End of the wait on the loop's clock, which is the steady clock.
+        Time at which the wait ends, on the event loop's clock, which never goes back.
     client : object
-        Has ``is_gone`` and ``watch``, see `servers.Reply`.
+        Has ``is_gone`` and ``watch``, such as `replies.Reply`.
     """
     if client.is_gone:
         return Wake.GONE
@@ -45,6 +45,6 @@
 
 
 def set_result_if_pending(fut, result=None):
-    """End the wait for a future, if somebody waits and it has not ended."""
+    """Set the result of a future unless it is None or already done."""
     if fut is not None and not fut.done():
         fut.set_result(result)
