--- a/packages/valeweir_gateway/src/valeweir_gateway/loops.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/loops.py
@@ -3,7 +3,7 @@
 import asyncio
 
 
-class _ClockedLoop(asyncio.SelectorEventLoop):
+class _CustomClockLoop(asyncio.SelectorEventLoop):
     """A loop whose timers are due by a clock, and looked at when a wait ends.
 
     The kernel's waits count no suspended time. They end within a tick of the fleet's
@@ -18,4 +18,4 @@
 
 def create_loop(clock):
     """Return an event loop whose time is ``clock``."""
-    return _ClockedLoop(clock)
+    return _CustomClockLoop(clock)
--- a/packages/valeweir_gateway/src/valeweir_gateway/operations/decision_log.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/operations/decision_log.py
@@ -15,35 +15,37 @@
 import msgspec
 from valeweir.timers import get_lease_time
 
-_QUEUE_LINES = 2_000
-_LINES_A_WRITE = 64
-_RATE_PER_SECOND = 60.0
-_BURST = 240.0
-_FAILURE_RATE_PER_SECOND = 60.0
-_FAILURE_BURST = 240.0
-_DENIAL_RATE_PER_SECOND = 10.0
-_DENIAL_BURST = 60.0
+_MAX_QUEUED_LINE_COUNT = 2_000
+_MAX_WRITE_LINE_COUNT = 64
+_ROUTINE_LINES_PER_S = 60.0
+_ROUTINE_BURST_LINE_COUNT = 240.0
+_FAILURE_LINES_PER_S = 60.0
+_FAILURE_BURST_LINE_COUNT = 240.0
+_DENIAL_LINES_PER_S = 10.0
+_DENIAL_BURST_LINE_COUNT = 60.0
 # Less than what a planned stop leaves of its grace.
-_STOP_WAIT = 0.2
+_STOP_TIMEOUT_S = 0.2
 
 
-class _Allowance:
+class _TokenBucket:
     """A token bucket of lines."""
 
     def __init__(self, rate, burst, clock):
         self._rate = rate
         self._burst = burst
         self._clock = clock
-        self._level = burst
-        self._at = clock()
+        self._tokens = burst
+        self._updated_at = clock()
 
     def take(self):
         now = self._clock()
-        self._level = min(self._burst, self._level + (now - self._at) * self._rate)
-        self._at = now
-        if self._level < 1.0:
+        self._tokens = min(
+            self._burst, self._tokens + (now - self._updated_at) * self._rate
+        )
+        self._updated_at = now
+        if self._tokens < 1.0:
             return False
-        self._level -= 1.0
+        self._tokens -= 1.0
         return True
 
 
@@ -65,13 +67,19 @@
         self._identity = identity or {}
         self._clock = clock
         self._wall_clock = wall_clock
-        self._queue = queue.Queue(_QUEUE_LINES)
+        self._queue = queue.Queue(_MAX_QUEUED_LINE_COUNT)
         self._lock = threading.Lock()
-        self._routine = _Allowance(_RATE_PER_SECOND, _BURST, clock)
-        self._failures = _Allowance(_FAILURE_RATE_PER_SECOND, _FAILURE_BURST, clock)
-        self._denials = _Allowance(_DENIAL_RATE_PER_SECOND, _DENIAL_BURST, clock)
+        self._routine_bucket = _TokenBucket(
+            _ROUTINE_LINES_PER_S, _ROUTINE_BURST_LINE_COUNT, clock
+        )
+        self._failure_bucket = _TokenBucket(
+            _FAILURE_LINES_PER_S, _FAILURE_BURST_LINE_COUNT, clock
+        )
+        self._denial_bucket = _TokenBucket(
+            _DENIAL_LINES_PER_S, _DENIAL_BURST_LINE_COUNT, clock
+        )
         self.left_out = 0
-        self._told = 0
+        self._reported_left_out = 0
         self._thread = None
 
     def start(self):
@@ -90,7 +98,7 @@
             Takes it from the allowance of refusals that blame the client.
         """
         with self._lock:
-            if not self._pick_allowance(failed, denied).take():
+            if not self._choose_bucket(failed, denied).take():
                 self.left_out += 1
                 return
         # ``t`` orders the lines of one process; ``time`` those of several hosts,
@@ -107,10 +115,10 @@
         except queue.Full:
             self.left_out += 1
 
-    def _pick_allowance(self, failed, denied):
+    def _choose_bucket(self, failed, denied):
         if denied:
-            return self._denials
-        return self._failures if failed else self._routine
+            return self._denial_bucket
+        return self._failure_bucket if failed else self._routine_bucket
 
     def stop(self):
         """Write what is queued, then end."""
@@ -120,24 +128,24 @@
             self._queue.put_nowait(None)
         except queue.Full:
             return
-        self._thread.join(_STOP_WAIT)
+        self._thread.join(_STOP_TIMEOUT_S)
 
     def _run(self):
-        ended = False
-        while not ended:
+        is_stopping = False
+        while not is_stopping:
             lines = [self._queue.get()]
             # One write for all that wait: each costs this thread its turn.
-            while len(lines) < _LINES_A_WRITE and not self._queue.empty():
+            while len(lines) < _MAX_WRITE_LINE_COUNT and not self._queue.empty():
                 lines.append(self._queue.get())
-            ended = None in lines
+            is_stopping = None in lines
             self._write_lines([line for line in lines if line is not None])
 
     def _write_lines(self, lines):
         if not lines:
             return
-        if self.left_out != self._told:
-            self._told = self.left_out
-            lines[0]["left_out"] = self._told
+        if self.left_out != self._reported_left_out:
+            self._reported_left_out = self.left_out
+            lines[0]["left_out"] = self._reported_left_out
         data = b"".join(
             msgspec.json.encode(line, enc_hook=str) + b"\n" for line in lines
         )
--- a/packages/valeweir_gateway/src/valeweir_gateway/operations/metrics.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/operations/metrics.py
@@ -4,7 +4,7 @@
 from prometheus_client.exposition import generate_latest
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-_SECONDS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
+_BUCKETS_S = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
 
 
 class GatewayMetrics:
@@ -119,17 +119,21 @@
         """Return the metrics as text."""
         return generate_latest(self.registry)
 
-    def _counter(self, name, text, labels):
-        return Counter(f"valeweir_{name}", text, labels.split(), registry=self.registry)
+    def _counter(self, name, help_text, labels):
+        return Counter(
+            f"valeweir_{name}", help_text, labels.split(), registry=self.registry
+        )
 
-    def _gauge(self, name, text, labels=""):
-        return Gauge(f"valeweir_{name}", text, labels.split(), registry=self.registry)
+    def _gauge(self, name, help_text, labels=""):
+        return Gauge(
+            f"valeweir_{name}", help_text, labels.split(), registry=self.registry
+        )
 
-    def _histogram(self, name, text, labels):
+    def _histogram(self, name, help_text, labels):
         return Histogram(
             f"valeweir_{name}",
-            text,
+            help_text,
             labels.split(),
-            buckets=_SECONDS,
+            buckets=_BUCKETS_S,
             registry=self.registry,
         )
--- a/packages/valeweir_gateway/src/valeweir_gateway/operations/operating.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/operations/operating.py
@@ -25,23 +25,23 @@
             return
         now = state.clock()
         rows = state.quarantine.get_all().items()
-        reply.send_json(200, [_describe(key, held, now) for key, held in rows])
+        reply.send_json(200, [_encode_entry(key, entry, now) for key, entry in rows])
 
     return handle
 
 
-def _release(state, text):
+def _release(state, fingerprint_text):
     try:
-        fingerprint = parse_fingerprint(text)
+        fingerprint = parse_fingerprint(fingerprint_text)
     except ValueError:
         return False
     return crash_attribution.release(state, fingerprint)
 
 
-def _describe(fingerprint, held, now):
+def _encode_entry(fingerprint, entry, now):
     return {
         "fingerprint": format_fingerprint(fingerprint),
-        "held_for_s": round(now - held.since, 1),
-        "next_trial_s": None if held.due is None else round(held.due - now, 1),
-        **msgspec.structs.asdict(held.record),
+        "held_for_s": round(now - entry.since, 1),
+        "next_trial_s": None if entry.due is None else round(entry.due - now, 1),
+        **msgspec.structs.asdict(entry.record),
     }
--- a/packages/valeweir_gateway/src/valeweir_gateway/refusals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/refusals.py
@@ -7,7 +7,7 @@
 # Seconds until a client may come back to upstreams that are busy.
 BUSY_RETRY = 0.4
 # The most of a request's time that its client may be told to wait.
-_RETRY_RATIO = 1 / 3
+_MAX_RETRY_AFTER_RATIO = 1 / 3
 
 
 class Refusal(NamedTuple):
@@ -26,7 +26,7 @@
 
 def limit_retry(ctx, seconds, now):
     """Return a time to come back that leaves the client time to be served."""
-    return min(seconds, (ctx.deadline - now) * _RETRY_RATIO)
+    return min(seconds, (ctx.deadline - now) * _MAX_RETRY_AFTER_RATIO)
 
 
 def send_refusal(reply, refusal, request_id, id_header):
