--- a/packages/valeweir_gateway/src/valeweir_gateway/loops.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/loops.py
@@ -1,18 +1,19 @@
-"""The gateway's event loop, on the gateway's own clock."""
+"""The gateway's event loop, which uses the gateway's clock."""
 
 import asyncio
 
 
 class _CustomClockLoop(asyncio.SelectorEventLoop):
-    """A loop whose timers are due by a clock, and looked at when a wait ends.
+    """An event loop whose timers use a given clock.
 
-    The kernel's waits count no suspended time. They end within a tick of the fleet's
-    exchange, and then all that fell due while the host was suspended is due.
+    The kernel's waits do not count the time during which the host is suspended, so
+    timers are checked when a wait ends. That is within one tick of the fleet's
+    exchange, and all timers that expired during the suspension run then.
     """
 
     def __init__(self, clock):
         super().__init__()
-        # In place of the method, which would be one call more for each look.
+        # Replaces the method instead of overriding it, which saves a call per look-up.
         self.time = clock
 
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/operations/__init__.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/operations/__init__.py
@@ -1,4 +1,4 @@
-"""What operators see: metrics, the decision log, quarantines listed and released.
+"""Interfaces for operators: metrics, the decision log and the quarantine API.
 
 Imports ``quarantine``.
 """
--- a/packages/valeweir_gateway/src/valeweir_gateway/operations/decision_log.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/operations/decision_log.py
@@ -1,9 +1,9 @@
-"""Structured lines on standard output: bounded in rate, never blocking.
+"""Structured log lines on standard output, limited in rate and never blocking.
 
-A line is written by a thread of its own. Above the rate, lines are left out
-and counted; decisions on failures have an allowance of their own, so that
-successes never crowd them out. So have refusals that blame the client, as a flood
-refused for want of capacity would hide them.
+A separate thread writes the lines. Lines above the rate are dropped and counted.
+Failures have their own rate limit, so that lines on successes cannot displace them.
+Denials, which are refusals caused by the client, have a third one: otherwise many
+requests refused for lack of capacity would displace them.
 """
 
 import os
@@ -23,12 +23,12 @@
 _FAILURE_BURST_LINE_COUNT = 240.0
 _DENIAL_LINES_PER_S = 10.0
 _DENIAL_BURST_LINE_COUNT = 60.0
-# Less than what a planned stop leaves of its grace.
+# Must be shorter than the part of the grace period that a planned stop reserves.
 _STOP_TIMEOUT_S = 0.2
 
 
 class _TokenBucket:
-    """A token bucket of lines."""
+    """Limits the rate of log lines with a token bucket."""
 
     def __init__(self, rate, burst, clock):
         self._rate = rate
@@ -50,14 +50,14 @@
 
 
 class DecisionLog:
-    """Writes events as JSON lines.
+    """Writes events as lines of JSON.
 
     Parameters
     ----------
     write : callable
         Takes bytes; the default writes to standard output.
     identity : dict
-        Fields that stand on every line.
+        Fields added to every line.
     """
 
     def __init__(
@@ -83,26 +83,26 @@
         self._thread = None
 
     def start(self):
-        """Write in a thread of its own from now on."""
+        """Start the thread that writes the lines."""
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
         self._thread.start()
 
     def note(self, event, failed=False, denied=False, **fields):
-        """Write a line about a decision or a change of what is believed.
+        """Queue a line about a decision or a change of state.
 
         Parameters
         ----------
         failed : bool
-            Takes the line from the failures' allowance.
+            Whether the line counts against the rate limit of failures.
         denied : bool
-            Takes it from the allowance of refusals that blame the client.
+            Whether it counts against the rate limit of denials instead.
         """
         with self._lock:
             if not self._choose_bucket(failed, denied).take():
                 self.left_out += 1
                 return
-        # ``t`` orders the lines of one process; ``time`` those of several hosts,
-        # as well as their clocks agree.
+        # ``t`` orders the lines of one process, and ``time`` those of several hosts as
+        # far as their clocks agree.
         line = {
             "t": round(self._clock(), 4),
             "time": round(self._wall_clock(), 3),
@@ -121,7 +121,7 @@
         return self._failure_bucket if failed else self._routine_bucket
 
     def stop(self):
-        """Write what is queued, then end."""
+        """Write the queued lines and stop the thread."""
         if self._thread is None:
             return
         try:
@@ -134,7 +134,8 @@
         is_stopping = False
         while not is_stopping:
             lines = [self._queue.get()]
-            # One write for all that wait: each costs this thread its turn.
+            # Queued lines are written together: each write releases the interpreter
+            # lock, and the thread must wait to get it back.
             while len(lines) < _MAX_WRITE_LINE_COUNT and not self._queue.empty():
                 lines.append(self._queue.get())
             is_stopping = None in lines
--- a/packages/valeweir_gateway/src/valeweir_gateway/operations/operating.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/operations/operating.py
@@ -1,4 +1,4 @@
-"""What operators may ask a gateway, over the HTTP interface of the fleet."""
+"""HTTP API for operators that lists and releases quarantined requests."""
 
 import msgspec
 
@@ -9,10 +9,11 @@
 
 
 def create_quarantine_handler(state):
-    """Return the handler that lists requests held back, and lets one go.
+    """Return the handler that lists quarantined requests and releases one.
 
-    ``GET`` of the path answers a list, ``DELETE`` of the path and a fingerprint lets
-    that request go at every gateway: 204, or 404 where it is not held.
+    ``GET`` of the path returns a list. ``DELETE`` of the path and a fingerprint
+    releases that request at every gateway; the status is 204, or 404 if the request
+    is not quarantined.
     """
 
     def handle(request, reply):
--- a/packages/valeweir_gateway/src/valeweir_gateway/refusals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/refusals.py
@@ -1,20 +1,20 @@
-"""Answers that the gateway itself gives."""
+"""Refusals: error responses that the gateway itself sends."""
 
 from typing import NamedTuple
 
 from valeweir.models import OUTCOME_HEADER, Outcome
 
-# Seconds until a client may come back to upstreams that are busy.
+# Retry-After of requests that no upstream can serve at present.
 BUSY_RETRY = 0.4
-# The most of a request's time that its client may be told to wait.
+# Limits Retry-After to this part of the time left until the request's deadline.
 _MAX_RETRY_AFTER_RATIO = 1 / 3
 
 
 class Refusal(NamedTuple):
-    """An answer of our own.
+    """An error response that the gateway sends instead of a response of an upstream.
 
-    ``retry_after`` is in seconds, None to leave it out; ``inputs`` are what
-    decided, for the log.
+    ``retry_after`` is in seconds, None to omit the header; ``inputs`` are the values
+    behind the decision, for the log.
     """
 
     status: int
@@ -25,12 +25,12 @@
 
 
 def limit_retry(ctx, seconds, now):
-    """Return a time to come back that leaves the client time to be served."""
+    """Return a Retry-After that leaves enough time to serve the retry."""
     return min(seconds, (ctx.deadline - now) * _MAX_RETRY_AFTER_RATIO)
 
 
 def send_refusal(reply, refusal, request_id, id_header):
-    """Answer with a refusal."""
+    """Send a refusal as the response."""
     headers = [(OUTCOME_HEADER, refusal.outcome.value)]
     if request_id:
         headers.append((id_header, request_id))
