--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/servers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/servers.py
@@ -33,7 +33,7 @@
 
     Parameters
     ----------
-    note_refusal : callable
+    on_rejection : callable
         Called with a code for each malformed request and each failed accept.
     prepare_socket : callable
         Called with each client's socket to set its options.
