--- a/packages/valeweir_gateway/src/valeweir_gateway/adapters.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/adapters.py
@@ -30,10 +30,11 @@
 
     ``decode_catalog`` takes the bytes of a configuration record and returns a
     `catalog.Catalog`; ``decode_instance`` takes a key and bytes and returns a
-    `directory.Instance`. Both raise `BadRecord`. ``find_evacuated`` takes a key of
-    the catalog topic and returns the failure domain whose evacuation that record
-    requests, or None. ``list_parts`` takes the address of an engine and returns the ids
-    of the prompt parts in its cache; it raises `ListRefused` or `PlatformUnavailable`.
+    `directory.Instance`. Both raise `BadRecord`. ``find_evacuated`` takes a key
+    of the catalog topic and returns the failure domain whose evacuation that record
+    requests, or None. ``list_parts`` takes the address of an engine and returns the
+    ids of the prompt parts in its cache; it raises `ListRefused` or
+    `PlatformUnavailable`.
     """
 
     names: HeaderNames
