--- a/packages/valeweir_gateway/tests/test_answers.py
+++ b/packages/valeweir_gateway/tests/test_answers.py
@@ -80,7 +80,7 @@
         close = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\na"
         http_1_0 = b"HTTP/1.0 200 OK\r\nContent-Length: 1\r\n\r\na"
         cases = {
-            # pieces, method, whole, clean
+            # chunks, method, complete, reusable
             "no length, connection closed": ([UNSIZED, b""], "POST", True, False),
             "no length, connection open": ([UNSIZED], "POST", False, False),
             "Connection: close": ([close], "POST", True, False),
