--- a/packages/valeweir_gateway/src/valeweir_gateway/operations/operating.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/operations/operating.py
@@ -1,4 +1,4 @@
-"""What operators may ask a gateway, over the HTTP interface of the fleet."""
+"""HTTP API for operators that lists and releases quarantined requests."""
 
 import msgspec
 
@@ -9,10 +9,11 @@
 
 
 def create_quarantine_handler(state):
-    """Return the handler that lists requests held back, and lets one go.
+    """Return the handler that lists quarantined requests and releases one.
 
-    ``GET`` of the path answers a list, ``DELETE`` of the path and a fingerprint lets
-    that request go at every gateway: 204, or 404 where it is not held.
+    ``GET`` of the path returns a list. ``DELETE`` of the path and a fingerprint
+    releases that request at every gateway; the status is 204, or 404 if the request
+    is not quarantined.
     """
 
     def handle(request, reply):
@@ -25,23 +26,23 @@
             return
         now = state.clock()
         rows = state.quarantine.get_all().items()
-        reply.send_json(200, [_describe(key, held, now) for key, held in rows])
+        reply.send_json(200, [_encode_entry(key, entry, now) for key, entry in rows])
 
     return handle
 
 
-def _release(state, text):
+def _release(state, fingerprint_text):
     try:
-        fingerprint = parse_fingerprint(text)
+        fingerprint = parse_fingerprint(fingerprint_text)
     except ValueError:
         return False
     return crash_attribution.release(state, fingerprint)
 
 
-def _describe(fingerprint, held, now):
+def _encode_entry(fingerprint, entry, now):
     return {
         "fingerprint": format_fingerprint(fingerprint),
-        "held_for_s": round(now - held.since, 1),
-        "next_trial_s": None if held.due is None else round(held.due - now, 1),
-        **msgspec.structs.asdict(held.record),
+        "held_for_s": round(now - entry.since, 1),
+        "next_trial_s": None if entry.due is None else round(entry.due - now, 1),
+        **msgspec.structs.asdict(entry.record),
     }
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/waiting.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/waiting.py
@@ -1,26 +1,26 @@
-"""Waiting for a socket on the event loop, with an end and a client that may leave."""
+"""Waits for a socket on the event loop, with a deadline and client disconnects."""
 
 import asyncio
 from enum import Enum
 
 
 class Wake(Enum):
-    """Why a wait has ended: the socket is ready, the time is up, the client left."""
+    """Why a wait ended: socket ready, deadline passed or client disconnected."""
 
     READY = 1
     DUE = 2
     GONE = 3
 
 
-async def wait_for_socket(sock, until, client, reading=True, writing=False):
-    """Return the `Wake` that ends the wait for a non-blocking socket.
+async def wait_for_socket(sock, deadline, client, reading=True, writing=False):
+    """Wait for a non-blocking socket; return the `Wake` that ended the wait.
 
     Parameters
     ----------
     until : float
-        End of the wait on the loop's clock, which is the steady clock.
+        Time at which the wait ends, on the event loop's clock, which never goes back.
     client : object
-        Has ``is_gone`` and ``watch``, see `servers.Reply`.
+        Has ``is_gone`` and ``watch``, such as `replies.Reply`.
     """
     if client.is_gone:
         return Wake.GONE
@@ -28,11 +28,11 @@
     waiter = loop.create_future()
     fd = sock.fileno()
     if reading:
-        loop.add_reader(fd, wake, waiter, Wake.READY)
+        loop.add_reader(fd, set_result_if_pending, waiter, Wake.READY)
     if writing:
-        loop.add_writer(fd, wake, waiter, Wake.READY)
-    timer = loop.call_at(until, wake, waiter, Wake.DUE)
-    client.watch(lambda: wake(waiter, Wake.GONE))
+        loop.add_writer(fd, set_result_if_pending, waiter, Wake.READY)
+    timer = loop.call_at(deadline, set_result_if_pending, waiter, Wake.DUE)
+    client.watch(lambda: set_result_if_pending(waiter, Wake.GONE))
     try:
         return await waiter
     finally:
@@ -44,7 +44,7 @@
             loop.remove_writer(fd)
 
 
-def wake(fut, result=None):
-    """End the wait for a future, if somebody waits and it has not ended."""
+def set_result_if_pending(fut, result=None):
+    """Set the result of a future unless it is None or already done."""
     if fut is not None and not fut.done():
         fut.set_result(result)
