--- a/packages/valeweir/src/valeweir/servers.py
+++ b/packages/valeweir/src/valeweir/servers.py
@@ -86,7 +86,7 @@
         """Close the connection after this answer."""
         self._req.close_connection = True
 
-    def is_gone(self):
+    def is_disconnected(self):
         """Return whether the client has closed its side of the connection."""
         sock = self._req.conn.socket
         try:
@@ -126,7 +126,7 @@
         )
         self.close_connection = True
         self.sent_headers = True
-        self.server.note_refusal(f"http-{code}")
+        self.server.on_rejection(f"http-{code}")
         try:
             self.conn.wfile.write(head.encode("latin-1") + body)
         except OSError:
@@ -145,11 +145,11 @@
     request_queue_size = 1024
     expiration_interval = 0.2
 
-    def __init__(self, bind_addr, gateway, threads, note_refusal):
+    def __init__(self, bind_addr, gateway, threads, on_rejection):
         super().__init__(
             bind_addr, gateway, minthreads=min(16, threads), maxthreads=threads
         )
-        self.note_refusal = note_refusal
+        self.on_rejection = on_rejection
         self._need_threads = threading.Event()
 
     def start_threads(self):
@@ -216,7 +216,7 @@
     max_body=8 << 20,
     max_header=32 << 10,
     timeout=10.0,
-    note_refusal=lambda code: None,
+    on_rejection=lambda code: None,
 ):
     """Return a `Server` that calls ``handle(request, reply)`` in its threads.
 
@@ -234,7 +234,7 @@
             self.req.server.check_threads()
             _respond(self.req, handle)
 
-    server = Server((host.strip("[]"), int(port)), _Gateway, threads, note_refusal)
+    server = Server((host.strip("[]"), int(port)), _Gateway, threads, on_rejection)
     server.max_request_body_size = max_body
     server.max_request_header_size = max_header
     server.timeout = timeout
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -6,7 +6,7 @@
     on_connection_broken,
     on_request_answered,
 )
-from ..transport.answers import Head
+from ..transport.responses import Head
 from ..upstreams import streams
 from ..upstreams.connections import MAX_IDLE, connect
 from ..upstreams.exchanges import (
@@ -127,7 +127,7 @@
     try:
         return await connect(instance.address, ctx.reply)
     except OSError as exc:
-        fault = Fault.GONE if ctx.reply.is_gone else Fault.NOT_SENT
+        fault = Fault.GONE if ctx.reply.is_disconnected else Fault.NOT_SENT
         return Failure(fault, f"connection failed: {exc}")
 
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
@@ -16,7 +16,7 @@
     refuse_quarantined,
 )
 from ..refusals import Refusal, send_refusal
-from ..transport.replies import ClientGone
+from ..transport.replies import ClientDisconnected
 from ..upstreams.exchanges import Fault
 from .attempts import attempt
 from .pause_recovery import wait_for_view
@@ -53,7 +53,7 @@
             await _handle(state, request, reply, arrived)
             # A planned stop waits until clients have read their responses.
             await reply.flush()
-        except ClientGone:
+        except ClientDisconnected:
             # Already recorded where it was detected.
             pass
         except Exception as exc:
@@ -94,7 +94,7 @@
         ctx.reply.close()
         return refusal
     await state.intake.enter()
-    if ctx.reply.is_gone:
+    if ctx.reply.is_disconnected:
         # The client disconnected while the request waited for admission, so the work on
         # it would be wasted.
         state.overload.record_unread_disconnect(state.clock())
--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -23,7 +23,7 @@
 from .quarantine import crash_attribution
 from .quarantine.quarantine_store import QuarantineStore
 from .states import GatewayState
-from .transport.servers import create_plain_handler, create_server
+from .transport.servers import create_server, create_sync_handler
 from .transport.sockets import prepare_socket
 from .upstreams import upstream_signals
 from .view.publisher import Publisher
@@ -67,7 +67,7 @@
         state.freshness.is_held = self._has_unapplied_records
         self._fleet_server = create_server(
             listen.fleet,
-            create_plain_handler(
+            create_sync_handler(
                 _create_fleet_handler(state, self._followers), state.log
             ),
         )
@@ -271,13 +271,13 @@
     clients = create_server(
         cfg.listen.clients,
         create_handler(state),
-        note_refusal=record_malformed,
+        on_rejection=record_malformed,
         prepare_socket=prepare_socket,
     )
     clients.max_connections = cfg.descriptors.max_clients
     ready = create_server(
         cfg.listen.ready,
-        create_plain_handler(
+        create_sync_handler(
             _create_ready_handler(state, clients, adapter.ready_path), log
         ),
     )
@@ -325,4 +325,4 @@
         data = state.metrics.render()
         reply.send(200, [("Content-Type", metrics.CONTENT_TYPE)], data)
 
-    return create_server(address, create_plain_handler(handle, state.log))
+    return create_server(address, create_sync_handler(handle, state.log))
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -29,7 +29,7 @@
 from .process_pauses import PauseDetector
 from .quarantine.crashes import Suspects
 from .quarantine.records import Quarantine
-from .transport.headers import HeaderNames, get_own_headers, get_replaced_headers
+from .transport.headers import HeaderNames, get_replaced_headers, get_reserved_headers
 from .upstreams.connections import Connections
 from .upstreams.upstream_exits import Endings
 from .view.directory import Directory
@@ -121,7 +121,7 @@
         self.stop_deadline = 0.0
         self._inflight = 0
         self._lock = threading.Lock()
-        self.reserved_headers = get_own_headers(names)
+        self.reserved_headers = get_reserved_headers(names)
         self.replaced_headers = get_replaced_headers(names)
 
     @property
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/clients.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/client_connections.py
@@ -10,9 +10,9 @@
 import msgspec
 from valeweir.models import OUTCOME_HEADER, Outcome
 
-from .replies import ClientGone, Reply, encode_head
+from .replies import ClientDisconnected, Reply, encode_head
 from .requests import BadRequest, RequestParser
-from .waiting import set_result_if_pending
+from .socket_waits import set_result_if_pending
 
 # Limits the complete requests of one connection that wait for an earlier one.
 _MAX_PIPELINED_REQUEST_COUNT = 8
@@ -91,12 +91,12 @@
             self._transport.write(data)
 
     async def drain(self):
-        """Wait until the write buffer is empty; raises `ClientGone`."""
+        """Wait until the write buffer is empty; raises `ClientDisconnected`."""
         while self._write_paused and not self.is_disconnected:
             self._drain_waiter = self._server.loop.create_future()
             await self._drain_waiter
         if self.is_disconnected:
-            raise ClientGone
+            raise ClientDisconnected
 
     def close(self):
         """Close the connection after the buffered bytes are sent."""
@@ -127,7 +127,7 @@
             if not reply.started:
                 reply.send(204, [], b"")
             await reply.flush()
-        except ClientGone:
+        except ClientDisconnected:
             return False
         finally:
             self._is_serving = False
@@ -167,7 +167,7 @@
 
     def _send_error(self, fault):
         """Send an error response that marks the malformed request as not run."""
-        self._server.note_refusal(f"http-{fault.status}")
+        self._server.on_rejection(f"http-{fault.status}")
         body = msgspec.json.encode(
             {"error": {"code": f"http-{fault.status}", "message": fault.text}}
         )
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/events.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/events.py
@@ -21,7 +21,7 @@
         self._buffer = b""
 
     @property
-    def has_rest(self):
+    def has_partial_event(self):
         """Return whether an incomplete event is buffered."""
         return bool(self._buffer)
 
@@ -37,7 +37,7 @@
         self._buffer = self._buffer[start:]
         return blocks
 
-    def take_rest(self):
+    def take_partial_event(self):
         """Remove and return the bytes of an incomplete event."""
         partial, self._buffer = self._buffer, b""
         return partial
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/headers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/headers.py
@@ -33,7 +33,7 @@
     leaving: str = "X-Valeweir-Leaving"
 
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -48,7 +48,7 @@
 )
 
 
-def get_own_headers(names):
+def get_reserved_headers(names):
     """Return, in lower case, the request headers that only the fleet may set.
 
     If they were accepted from a client, they could name nonexistent instances, leases
@@ -70,4 +70,4 @@
 def get_replaced_headers(names):
     """Return, in lower case, the request headers that the gateway replaces."""
     replaced = (names.deadline, "Authorization", "Content-Length", "Expect")
-    return get_own_headers(names) | {name.lower() for name in replaced}
+    return get_reserved_headers(names) | {name.lower() for name in replaced}
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/replies.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/replies.py
@@ -9,7 +9,7 @@
 _FRAMING_HEADERS = frozenset(("content-length", "connection", "transfer-encoding"))
 
 
-class ClientGone(OSError):
+class ClientDisconnected(OSError):
     """The client has closed the connection."""
 
 
@@ -25,7 +25,7 @@
         self.ended = False
 
     @property
-    def is_gone(self):
+    def is_disconnected(self):
         """Return whether the client has disconnected."""
         return self._conn.is_disconnected
 
@@ -56,14 +56,14 @@
         self._head = encode_head(status, headers, _CHUNKED_FRAMING, self._keep_alive)
 
     async def flush(self):
-        """Wait until the write buffer is empty; raises `ClientGone`."""
+        """Wait until the write buffer is empty; raises `ClientDisconnected`."""
         if self._conn.is_write_paused:
             await self._conn.drain()
 
     async def write(self, part):
-        """Send a part of a stream; raises `ClientGone`."""
+        """Send a part of a stream; raises `ClientDisconnected`."""
         if self._conn.is_disconnected:
-            raise ClientGone
+            raise ClientDisconnected
         chunk = b"%s%x\r\n%s\r\n" % (self._head, len(part), part)
         self._head = b""
         self._conn.write(chunk)
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/answers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/responses.py
@@ -30,13 +30,13 @@
     """End of a complete response."""
 
 
-class AnswerParser:
+class ResponseParser:
     """Parses the bytes of one connection into the events of one response.
 
     ``fault`` describes the parse error and is "" if there is none; ``broke_off`` is
     true if the connection was closed before the response was complete. Bytes after
     the end of the response are ignored because they belong to no request;
-    ``is_clean`` is false if there were any, and the connection cannot be reused.
+    ``is_reusable`` is false if there were any, and the connection cannot be reused.
     """
 
     def __init__(self):
@@ -70,7 +70,7 @@
         return bool(self.fault)
 
     @property
-    def is_clean(self):
+    def is_reusable(self):
         """Return whether the connection may serve another request."""
         return (
             self._is_complete
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/servers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/servers.py
@@ -6,7 +6,7 @@
 import asyncio
 import socket
 
-from .clients import ClientConnection
+from .client_connections import ClientConnection
 
 _BACKLOG_COUNT = 1_024
 # Limits the connections accepted in one iteration of the event loop.
@@ -39,10 +39,10 @@
         Called with each client's socket to set its options.
     """
 
-    def __init__(self, address, handle, note_refusal, prepare_socket):
+    def __init__(self, address, handle, on_rejection, prepare_socket):
         self.address = address
         self.handle = handle
-        self.note_refusal = note_refusal
+        self.on_rejection = on_rejection
         self.prepare_socket = prepare_socket
         self.max_header = 32 << 10
         self.max_body = 8 << 20
@@ -114,7 +114,7 @@
                 return
             except OSError as exc:
                 # The process or the host has run out of file descriptors or memory.
-                self.note_refusal(f"not-accepted-{exc.errno}")
+                self.on_rejection(f"not-accepted-{exc.errno}")
                 self._pause_accepting(_ACCEPT_ERROR_PAUSE_S)
                 return
             self._create_task(self._serve_socket(sock))
@@ -158,13 +158,13 @@
 
 
 def create_server(
-    address, handle, note_refusal=lambda code: None, prepare_socket=lambda sock: None
+    address, handle, on_rejection=lambda code: None, prepare_socket=lambda sock: None
 ):
     """Return a `Server` that binds its address when it is started."""
-    return Server(address, handle, note_refusal, prepare_socket)
+    return Server(address, handle, on_rejection, prepare_socket)
 
 
-def create_plain_handler(handle, log):
+def create_sync_handler(handle, log):
     """Return a coroutine function that calls a handler which never blocks."""
 
     async def call_handler(request, reply):
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/waiting.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/socket_waits.py
@@ -4,35 +4,35 @@
 from enum import Enum
 
 
-class Wake(Enum):
+class WaitResult(Enum):
     """Why a wait ended: socket ready, deadline passed or client disconnected."""
 
     READY = 1
-    DUE = 2
+    TIMED_OUT = 2
     GONE = 3
 
 
 async def wait_for_socket(sock, deadline, client, reading=True, writing=False):
-    """Wait for a non-blocking socket; return the `Wake` that ended the wait.
+    """Wait for a non-blocking socket; return the `WaitResult` that ended the wait.
 
     Parameters
     ----------
     until : float
         Time at which the wait ends, on the event loop's clock, which never goes back.
     client : object
-        Has ``is_gone`` and ``watch``, such as `replies.Reply`.
+        Has ``is_disconnected`` and ``watch``, such as `replies.Reply`.
     """
-    if client.is_gone:
-        return Wake.GONE
+    if client.is_disconnected:
+        return WaitResult.GONE
     loop = asyncio.get_running_loop()
     waiter = loop.create_future()
     fd = sock.fileno()
     if reading:
-        loop.add_reader(fd, set_result_if_pending, waiter, Wake.READY)
+        loop.add_reader(fd, set_result_if_pending, waiter, WaitResult.READY)
     if writing:
-        loop.add_writer(fd, set_result_if_pending, waiter, Wake.READY)
-    timer = loop.call_at(deadline, set_result_if_pending, waiter, Wake.DUE)
-    client.watch(lambda: set_result_if_pending(waiter, Wake.GONE))
+        loop.add_writer(fd, set_result_if_pending, waiter, WaitResult.READY)
+    timer = loop.call_at(deadline, set_result_if_pending, waiter, WaitResult.TIMED_OUT)
+    client.watch(lambda: set_result_if_pending(waiter, WaitResult.GONE))
     try:
         return await waiter
     finally:
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
@@ -13,8 +13,8 @@
 
 from valeweir.timers import get_lease_time
 
+from ..transport.socket_waits import WaitResult, wait_for_socket
 from ..transport.sockets import is_readable, prepare_socket
-from ..transport.waiting import Wake, wait_for_socket
 
 CONNECT_TIMEOUT = 0.4
 _KEPT_PER_INSTANCE = 8
@@ -113,8 +113,8 @@
 async def _finish_connecting(sock, client, timeout):
     until = asyncio.get_running_loop().time() + timeout
     wake = await wait_for_socket(sock, until, client, reading=False, writing=True)
-    if wake is Wake.DUE:
+    if wake is WaitResult.TIMED_OUT:
         return errno.ETIMEDOUT
-    if wake is Wake.GONE:
+    if wake is WaitResult.GONE:
         return errno.ECANCELED
     return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/exchanges.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/exchanges.py
@@ -7,10 +7,10 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from ..transport.answers import AnswerParser, End, Head
-from ..transport.headers import HOP_BY_HOP
+from ..transport.headers import HOP_BY_HOP_HEADERS
+from ..transport.responses import End, Head, ResponseParser
+from ..transport.socket_waits import WaitResult, wait_for_socket
 from ..transport.sockets import is_readable
-from ..transport.waiting import Wake, wait_for_socket
 
 # The answer of another upstream at the address.
 MISDIRECTED = 421
@@ -68,7 +68,7 @@
     sock : socket.socket
         Connected; non-blocking from here on.
     client : object
-        Has ``is_gone`` and ``watch``; watched while waiting.
+        Has ``is_disconnected`` and ``watch``; watched while waiting.
     keep : callable
         Called with ``(sock, lifetime)`` when the connection may be used again.
     on_head : callable
@@ -82,7 +82,7 @@
         self._keep = keep
         self._id_header = id_header.lower()
         self._on_head = on_head
-        self._parser = AnswerParser()
+        self._parser = ResponseParser()
         self._reusable = True
         self._call = None
         # Whether any byte of an answer has come.
@@ -177,9 +177,9 @@
         wake = await wait_for_socket(
             self._sock, until, self._client, reading=True, writing=writing
         )
-        if wake is Wake.READY:
+        if wake is WaitResult.READY:
             return None
-        if wake is Wake.GONE:
+        if wake is WaitResult.GONE:
             return self._fail(Fault.GONE, "the client left")
         if until < end:
             return self._fail(Fault.SLOW, "the attempt's time was up")
@@ -193,7 +193,7 @@
             return self._fail(Fault.CROSSED, f"answer to {named}", head.status)
         if head.headers.get("content-encoding", "identity") != "identity":
             return self._fail(Fault.AMBIGUOUS, "the answer is encoded")
-        kept = {n: v for n, v in head.headers.items() if n not in HOP_BY_HOP}
+        kept = {n: v for n, v in head.headers.items() if n not in HOP_BY_HOP_HEADERS}
         return Head(head.status, kept)
 
     def _note_persistence(self, headers):
@@ -208,7 +208,7 @@
 
     def _finish(self):
         sock, self._sock = self._sock, None
-        if not self._reusable or not self._parser.is_clean or self._lifetime == 0.0:
+        if not self._reusable or not self._parser.is_reusable or self._lifetime == 0.0:
             sock.close()
             return
         self._keep(sock, self._lifetime)
@@ -267,6 +267,6 @@
         if name.lower() == "connection"
         for token in value.split(",")
     }
-    skipped = HOP_BY_HOP | named | dropped
+    skipped = HOP_BY_HOP_HEADERS | named | dropped
     kept = [row for row in headers.rows if row[0].lower() not in skipped]
     return kept + [(name, value) for name, value in added if value is not None]
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
@@ -1,8 +1,8 @@
 """Passing a stream of events on, whole event by whole event."""
 
-from ..transport.answers import Data, End
 from ..transport.events import EventSplitter, is_later
-from ..transport.replies import ClientGone
+from ..transport.replies import ClientDisconnected
+from ..transport.responses import Data, End
 from .exchanges import Failure, Fault
 
 # The rest of the time that an event may be held is for the network and for a
@@ -45,7 +45,7 @@
     try:
         _start(ctx, head)
         await ctx.reply.write(b"".join(block.data for block in later))
-    except ClientGone:
+    except ClientDisconnected:
         return Failure(Fault.GONE, "the client left")
     for block in later:
         ctx.last_event_id = block.id or ctx.last_event_id
@@ -55,9 +55,9 @@
 async def _end(ctx, head, splitter):
     try:
         _start(ctx, head)
-        if splitter.has_rest:
-            await ctx.reply.write(splitter.take_rest())
-    except ClientGone:
+        if splitter.has_partial_event:
+            await ctx.reply.write(splitter.take_partial_event())
+    except ClientDisconnected:
         return Failure(Fault.GONE, "the client left")
     ctx.reply.end()
     return None
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
@@ -20,7 +20,7 @@
 class _Nobody:
     """Whom a probe is for: a client that never leaves."""
 
-    is_gone = False
+    is_disconnected = False
 
     def watch(self, waiter):
         """Have nobody to watch."""
--- a/packages/valeweir_gateway/tests/test_upstream_signals.py
+++ b/packages/valeweir_gateway/tests/test_upstream_signals.py
@@ -1,7 +1,7 @@
 import unittest
 
-from valeweir_gateway.transport.answers import Head
 from valeweir_gateway.transport.headers import HeaderNames
+from valeweir_gateway.transport.responses import Head
 from valeweir_gateway.upstreams.upstream_signals import (
     Signals,
     parse_retry_after,
--- a/packages/valeweir_operators/src/valeweir_operators/api.py
+++ b/packages/valeweir_operators/src/valeweir_operators/api.py
@@ -160,7 +160,7 @@
     reply.start_stream(200, [("Content-Type", "application/x-ndjson")])
     deadline = time.monotonic() + int(seconds)
     bookmark = 0.0
-    while time.monotonic() < deadline and not reply.is_gone():
+    while time.monotonic() < deadline and not reply.is_disconnected():
         events, offset = _get_events(api, operator, target.kind, known)
         if not events and time.monotonic() >= bookmark:
             events = [{"type": "bookmark", "version": offset}]
--- a/packages/valeweir_router/src/valeweir_router/request_handler.py
+++ b/packages/valeweir_router/src/valeweir_router/request_handler.py
@@ -96,7 +96,7 @@
             timeout=min(remaining_s, _CALLER_CHECK_INTERVAL_S)
         ):
             return None
-        caller_gone = admitted.reply.is_gone()
+        caller_gone = admitted.reply.is_disconnected()
         if remaining_s > 0 and not caller_gone:
             continue
         with state.lock:
--- a/packages/valeweir_router/src/valeweir_router/router.py
+++ b/packages/valeweir_router/src/valeweir_router/router.py
@@ -183,7 +183,7 @@
         max_body=section.get("max_body", 1 << 20),
         max_header=section.get("max_header", 32 << 10),
         timeout=section.get("header_timeout", 10.0),
-        note_refusal=lambda code: metrics.refusals.labels(code).inc(),
+        on_rejection=lambda code: metrics.refusals.labels(code).inc(),
     )
     if "certificate" in section:
         set_tls(server, section["certificate"], section["key"])
--- a/packages/valeweir_router/src/valeweir_router/upstream_exchange.py
+++ b/packages/valeweir_router/src/valeweir_router/upstream_exchange.py
@@ -66,7 +66,7 @@
         exchange.close()
         return Failure(Fault.LAPSED, "the lease lapsed before the request was sent")
     call = _prepare_call(state, admitted)
-    failure = exchange.send(call) or exchange.wait(call, admitted.reply.is_gone)
+    failure = exchange.send(call) or exchange.wait(call, admitted.reply.is_disconnected)
     if failure is not None:
         return failure
     head = exchange.read_head(call)
--- a/packages/valeweir_upstreams/src/valeweir_upstreams/exchanges.py
+++ b/packages/valeweir_upstreams/src/valeweir_upstreams/exchanges.py
@@ -99,7 +99,7 @@
             return self._fail(Fault.AMBIGUOUS, exc)
         return None
 
-    def wait(self, call, is_gone):
+    def wait(self, call, is_disconnected):
         """Wait for the answer to begin, watching the caller meanwhile.
 
         Returns
@@ -114,7 +114,7 @@
                 return self._fail(Fault.LATE, "deadline passed")
             if poller.poll(min(left, _POLL_SECONDS) * 1000):
                 return None
-            if is_gone():
+            if is_disconnected():
                 return self._fail(Fault.GONE, "caller hung up")
 
     def read_head(self, call):
