--- a/packages/valeweir_gateway/src/valeweir_gateway/adapters.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/adapters.py
@@ -13,7 +13,7 @@
     """A record of the store cannot be decoded."""
 
 
-class ListRefused(PlatformUnavailable):
+class CacheListRefused(PlatformUnavailable):
     """An engine refused to list its cache.
 
     ``retry_after`` is the Retry-After header of its response or None.
@@ -30,10 +30,10 @@
 
     ``decode_catalog`` takes the bytes of a configuration record and returns a
     `catalog.Catalog`; ``decode_instance`` takes a key and bytes and returns a
-    `directory.Instance`. Both raise `BadRecord`. ``find_evacuated`` takes a key
+    `directory.Instance`. Both raise `BadRecord`. ``find_evacuated_domain`` takes a key
     of the catalog topic and returns the failure domain whose evacuation that record
     requests, or None. ``list_parts`` takes the address of an engine and returns the
-    ids of the prompt parts in its cache; it raises `ListRefused` or
+    ids of the prompt parts in its cache; it raises `CacheListRefused` or
     `PlatformUnavailable`.
     """
 
@@ -47,5 +47,5 @@
     quarantine_topic: str
     decode_catalog: Callable
     decode_instance: Callable
-    find_evacuated: Callable
+    find_evacuated_domain: Callable
     list_parts: Callable
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
@@ -1,6 +1,6 @@
 """Decides whether a request is sent now or refused with a time to retry."""
 
-from ..refusals import Refusal, limit_retry
+from ..refusals import Refusal, limit_retry_after
 from .pressure import PressureLevel, get_intake_level
 from .shares import UNLIMITED, compute_pass_rate, describe_share_status
 
@@ -59,7 +59,7 @@
     )
     if choice.wait <= limit:
         return None
-    retry_after = limit_retry(
+    retry_after = limit_retry_after(
         ctx, max(_MIN_RETRY_AFTER_S, choice.wait - limit / 2), now
     )
     inputs = describe_wait_inputs(state, choice, status, limit, now)
@@ -82,7 +82,7 @@
     retry_after = max(
         _MIN_CALL_RETRY_AFTER_S, choice.wait - ctx.route.latency_target / 2
     )
-    retry_after = limit_retry(ctx, retry_after, now)
+    retry_after = limit_retry_after(ctx, retry_after, now)
     inputs = {
         "upstream": choice.instance.id,
         "expected_ms": round(choice.wait * 1000),
@@ -111,7 +111,7 @@
         "crowding": round(crowding, 2),
         **describe_share_status(status, get_oldest_report_age(state, now)),
     }
-    retry_after = limit_retry(ctx, _BEYOND_SHARE_RETRY_AFTER_S, now)
+    retry_after = limit_retry_after(ctx, _BEYOND_SHARE_RETRY_AFTER_S, now)
     return Refusal(503, "beyond-share", retry_after=retry_after, inputs=inputs)
 
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/pause_recovery.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/pause_recovery.py
@@ -42,4 +42,4 @@
     while waited < _MAX_WAIT_S and is_view_stale(state, started + waited):
         await state.sleep(_POLL_S)
         waited = state.clock() - started
-    state.metrics.view_waits.observe(waited)
+    state.metrics.view_wait_seconds.observe(waited)
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
@@ -59,8 +59,8 @@
     state.metrics.served.labels(kind, ctx.answered).inc()
     state.metrics.request_seconds.labels(kind).observe(now - ctx.arrived)
     if work.first is not None and ctx.prompt is not None:
-        state.metrics.first_seconds.observe(work.first)
-        state.metrics.expected_seconds.observe(choice.wait)
+        state.metrics.first_event_seconds.observe(work.first)
+        state.metrics.expected_first_event_seconds.observe(choice.wait)
     state.domains.record_success(choice.instance.zone)
     if state.loads.record_success(choice.instance.id, now):
         state.log.note("upstream back", upstream=choice.instance.id)
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retry_policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retry_policy.py
@@ -2,7 +2,7 @@
 
 from valeweir.models import Outcome
 
-from ..refusals import BUSY_RETRY, Refusal
+from ..refusals import BUSY_RETRY_AFTER_S, Refusal
 from ..upstreams.exchanges import MISDIRECTED, Fault
 
 NOT_RUN_FAULTS = frozenset((Fault.NOT_SENT, Fault.REJECTED))
@@ -53,7 +53,7 @@
 def make_deadline_refusal(ctx):
     """Return the `Refusal` of a request whose deadline passes between sends."""
     if not ctx.may_have_run:
-        return Refusal(503, "deadline", retry_after=BUSY_RETRY)
+        return Refusal(503, "deadline", retry_after=BUSY_RETRY_AFTER_S)
     return Refusal(504, "deadline", Outcome.UNKNOWN)
 
 
@@ -64,5 +64,5 @@
     if failure.fault is Fault.LATE:
         return Refusal(504, "deadline", Outcome.UNKNOWN)
     if not ctx.may_have_run:
-        return Refusal(503, failure.fault.value, retry_after=BUSY_RETRY)
+        return Refusal(503, failure.fault.value, retry_after=BUSY_RETRY_AFTER_S)
     return Refusal(502, failure.fault.value, Outcome.UNKNOWN)
--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -12,7 +12,7 @@
 from .loops import create_loop
 from .operations import metrics
 from .operations.decision_log import DecisionLog
-from .operations.operating import QUARANTINE_PATH, create_quarantine_handler
+from .operations.quarantine_api import QUARANTINE_PATH, create_quarantine_handler
 from .placement.caches import (
     CACHES_PATH,
     CacheDiscovery,
--- a/packages/valeweir_gateway/src/valeweir_gateway/operations/metrics.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/operations/metrics.py
@@ -57,15 +57,15 @@
             "Time from the request to the end of its response",
             "kind",
         )
-        self.first_seconds = self._histogram(
+        self.first_event_seconds = self._histogram(
             "first_event_seconds", "Time from the send to the first event", ""
         )
-        self.expected_seconds = self._histogram(
+        self.expected_first_event_seconds = self._histogram(
             "expected_first_event_seconds",
             "Time to the first event as estimated at the send",
             "",
         )
-        self.view_waits = self._histogram(
+        self.view_wait_seconds = self._histogram(
             "view_wait_seconds",
             "Time that requests waited for a current view after a process pause",
             "",
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
@@ -13,7 +13,7 @@
 import urllib3
 from valeweir.exceptions import PlatformUnavailable
 
-from ..adapters import ListRefused
+from ..adapters import CacheListRefused
 from ..digests import get_digest
 from ..upstreams.upstream_signals import add_backoff, parse_retry_after
 
@@ -136,7 +136,7 @@
             return False
         try:
             parts = self._list_parts(instance.address)
-        except ListRefused as exc:
+        except CacheListRefused as exc:
             self._on_list_refused(instance, exc)
             return False
         except PlatformUnavailable as exc:
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/candidates.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/candidates.py
@@ -3,7 +3,7 @@
 `choice` then selects the best of them.
 """
 
-from ..refusals import BUSY_RETRY, Refusal, limit_retry
+from ..refusals import BUSY_RETRY_AFTER_S, Refusal, limit_retry_after
 
 # Lower bound of ``Retry-After``, so that a client does not retry just before an
 # instance is warm.
@@ -14,14 +14,14 @@
     """Return the instances that may receive a request, or the `Refusal`."""
     ready = state.directory.get_ready(ctx.service)
     if not ready:
-        return Refusal(503, "no-upstream", retry_after=BUSY_RETRY)
+        return Refusal(503, "no-upstream", retry_after=BUSY_RETRY_AFTER_S)
     permitted = _keep_allowed_regions(state, ctx, ready)
     if not permitted:
         return Refusal(503, "no-upstream-in-region")
     ready = _drop_evacuated(state, permitted)
     if not ready:
         inputs = {"evacuated": sorted(state.evacuations.domains)}
-        return Refusal(503, "evacuated", retry_after=BUSY_RETRY, inputs=inputs)
+        return Refusal(503, "evacuated", retry_after=BUSY_RETRY_AFTER_S, inputs=inputs)
     if ctx.excluded:
         ready = [instance for instance in ready if instance.id not in ctx.excluded]
     all_ready, ready = ready, _drop_backing_off(state, ready, now)
@@ -29,7 +29,7 @@
         return _refuse_backing_off(state, all_ready, now)
     instances = _drop_without_permit(state, ctx, _keep_usable(state, ready, now), now)
     if not instances and not ready:
-        return Refusal(503, "no-upstream", retry_after=BUSY_RETRY)
+        return Refusal(503, "no-upstream", retry_after=BUSY_RETRY_AFTER_S)
     if not instances:
         # An ejected instance may still be better than none.
         instances = _drop_without_permit(state, ctx, ready, now)
@@ -185,6 +185,6 @@
 def _refuse_warming(state, ctx, instances, now):
     """Return the `Refusal` for a request whose instances are all warming up."""
     ends = [state.slow_start.get_end(instance.id) for instance in instances]
-    retry_after = limit_retry(ctx, max(_MIN_RETRY_S, min(ends) - now), now)
+    retry_after = limit_retry_after(ctx, max(_MIN_RETRY_S, min(ends) - now), now)
     inputs = {"warming": len(instances)}
     return Refusal(503, "upstreams-warming", retry_after=retry_after, inputs=inputs)
--- a/packages/valeweir_gateway/src/valeweir_gateway/refusals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/refusals.py
@@ -5,7 +5,7 @@
 from valeweir.models import OUTCOME_HEADER, Outcome
 
 # Retry-After of requests that no upstream can serve at present.
-BUSY_RETRY = 0.4
+BUSY_RETRY_AFTER_S = 0.4
 # Limits Retry-After to this part of the time left until the request's deadline.
 _MAX_RETRY_AFTER_RATIO = 1 / 3
 
@@ -24,7 +24,7 @@
     inputs: dict | None = None
 
 
-def limit_retry(ctx, seconds, now):
+def limit_retry_after(ctx, seconds, now):
     """Return a Retry-After that leaves enough time to serve the retry."""
     return min(seconds, (ctx.deadline - now) * _MAX_RETRY_AFTER_RATIO)
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -39,7 +39,7 @@
 
     def apply_catalog(self, entry):
         """Apply a record of the configuration topic."""
-        domain = self._adapter.find_evacuated(entry.key)
+        domain = self._adapter.find_evacuated_domain(entry.key)
         if domain is not None:
             self._apply_evacuation(domain, entry)
         if entry.key != self._adapter.catalog_key or entry.value is None:
