--- a/packages/valeweir/src/valeweir/servers.py
+++ b/packages/valeweir/src/valeweir/servers.py
@@ -224,7 +224,7 @@
     ----------
     address : str
         ``IP:PORT``; port 0 takes any free one, see ``server.bind_addr``.
-    note_refusal : callable
+    on_rejection : callable
         Told the code of each request that the parser refuses.
     """
     host, _, port = address.rpartition(":")
