--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
@@ -26,15 +26,15 @@
 _QUIET_INTERVAL_S = 0.1
 # A relay of many links sends less often.
 _INTERVAL_PER_LINK_S = 0.002
-_MANY_INFLIGHT = 8
+_MIN_BUSY_INFLIGHT = 8
 # What depends on time alone (silence, expiry of usage) is recomputed this often.
 _REFRESH_INTERVAL_S = 0.1
-_HEARTBEAT = 0.3
-_COUNT_MEMORY = 30.0
-_ASK_INTERVAL = 1.0
-_RECEIVE_BYTES = 2_048
+_HEARTBEAT_INTERVAL_S = 0.3
+_GATEWAY_COUNT_HOLD_S = 30.0
+_HELLO_INTERVAL_S = 1.0
+_RECEIVE_BUFFER_BYTES = 2_048
 # So that requests are not behind a flood of reports.
-_DATAGRAMS_A_TURN = 16
+_MAX_DATAGRAMS_PER_WAKEUP = 16
 
 
 class Fleet:
@@ -46,23 +46,23 @@
         self._sock = sock
         self._reporter = Reporter(state, number, random.Random(seed))
         self._links = Links()
-        self._asked_at = 0.0
-        self._corrected = {}
-        self._most = (1, 0.0)
+        self._hello_sent_at = 0.0
+        self._corrected_at = {}
+        self._max_gateways = (1, 0.0)
         self._task = None
         # Reports received so far; a tick has nothing to do while this and the versions
         # of what is reported stay the same.
-        self._received = 0
-        self._done = None
-        self._refresh_at = 0.0
-        self._plan_basis = None
+        self._received_count = 0
+        self._exchanged_versions = None
+        self._next_refresh_at = 0.0
+        self._plan_members_version = None
         self.plan = None
         self.sent_bytes = 0
 
     def start(self, loop):
         """Send and receive on the event loop."""
         self._sock.setblocking(False)
-        loop.add_reader(self._sock, self._receive_waiting)
+        loop.add_reader(self._sock, self._receive_pending)
         self._task = loop.create_task(self._send())
 
     def close(self, loop):
@@ -81,28 +81,28 @@
             now = state.clock()
             state.stalls.tick()
             state.pressure.note(now - due)
-            self._guard(self.tick, now)
+            self._run_logging_faults(self.tick, now)
 
     def _get_interval(self):
         state = self._state
-        if state.inflight == 0 and not self._has_news():
+        if state.inflight == 0 and not self._has_changes():
             interval = _QUIET_INTERVAL_S
-        elif state.members.is_mesh or state.inflight >= _MANY_INFLIGHT:
+        elif state.members.is_mesh or state.inflight >= _MIN_BUSY_INFLIGHT:
             interval = _BUSY_INTERVAL_S
         else:
             interval = _RELAYED_INTERVAL_S
         return max(interval, _INTERVAL_PER_LINK_S * len(self._links))
 
-    def _receive_waiting(self):
+    def _receive_pending(self):
         """Take in datagrams that wait; some are left for the next turn."""
-        for _ in range(_DATAGRAMS_A_TURN):
+        for _ in range(_MAX_DATAGRAMS_PER_WAKEUP):
             try:
-                data, sender = self._sock.recvfrom(_RECEIVE_BYTES)
+                data, sender = self._sock.recvfrom(_RECEIVE_BUFFER_BYTES)
             except OSError:
                 return
-            self._guard(self.receive, data, sender)
+            self._run_logging_faults(self.receive, data, sender)
 
-    def _guard(self, action, *args):
+    def _run_logging_faults(self, action, *args):
         """Go on after a fault; the next report makes up for this one."""
         try:
             action(*args)
@@ -117,13 +117,13 @@
         state = self._state
         now = state.clock()
         if report.only_hints:
-            self._take_hints(report, now)
+            self._apply_hints(report, now)
             return
         address = f"{sender[0]}:{sender[1]}"
-        fresh = not state.members.is_live(report.host, now)
+        is_new = not state.members.is_live(report.host, now)
         if state.members.note(report, address, now) is None:
             return
-        self._received += 1
+        self._received_count += 1
         if is_newer(report, state):
             state.newer_view.set()
         for row in report.members:
@@ -133,9 +133,9 @@
                 Role.ALIVE, now, with_members=True, host=report.host
             )
             self._send_to(address, answer)
-        self._take_hints(report, now)
-        self._reporter.note_view(report)
-        if fresh:
+        self._apply_hints(report, now)
+        self._reporter.observe_peer_view(report)
+        if is_new:
             state.log.note("peer heard", peer=report.host, address=address)
 
     def _is_misdirected(self, report, now):
@@ -145,27 +145,30 @@
         """
         if report.role != Role.ACROSS or self.plan is None or self.plan.is_relay:
             return False
-        if now - self._corrected.get(report.host, -_ASK_INTERVAL) < _ASK_INTERVAL:
+        if (
+            now - self._corrected_at.get(report.host, -_HELLO_INTERVAL_S)
+            < _HELLO_INTERVAL_S
+        ):
             return False
-        self._corrected[report.host] = now
+        self._corrected_at[report.host] = now
         return True
 
-    def _take_hints(self, report, now):
+    def _apply_hints(self, report, now):
         state = self._state
-        self._take_leaving(report)
-        news = [
+        self._apply_leaving(report)
+        new_notices = [
             notice
             for notice in get_notices(report, now)
             if crash_attribution.apply_notice(state, notice, now)
         ]
-        self._links.forward_notices(news, report.role, report.host)
-        for instance, part in report.reads:
+        self._links.forward_notices(new_notices, report.role, report.host)
+        for instance, part_digest in report.reads:
             instance_id = state.directory.get_id(instance)
             if instance_id is not None:
-                state.loads.note_digest(part, instance_id, now)
+                state.loads.note_digest(part_digest, instance_id, now)
         self._links.forward_reads(report)
 
-    def _take_leaving(self, report):
+    def _apply_leaving(self, report):
         state = self._state
         for digest in report.leaving:
             instance_id = state.directory.get_id(digest)
@@ -178,73 +181,73 @@
 
     def tick(self, now):
         """Send what is due and take in the sums of what was reported."""
-        if now < self._refresh_at and not self._has_news():
+        if now < self._next_refresh_at and not self._has_changes():
             return
         versions = self._get_versions()
-        self._exchange(now)
-        self._done = versions
-        if now >= self._refresh_at:
-            self._refresh_at = now + _REFRESH_INTERVAL_S
+        self._exchange_reports(now)
+        self._exchanged_versions = versions
+        if now >= self._next_refresh_at:
+            self._next_refresh_at = now + _REFRESH_INTERVAL_S
 
-    def _has_news(self):
+    def _has_changes(self):
         """Return whether there may be something to report or to take in."""
         if any(link.reads or link.notices for link in self._links):
             return True
-        return self._done != self._get_versions()
+        return self._exchanged_versions != self._get_versions()
 
     def _get_versions(self):
         """Return what changes with everything that is reported."""
         state = self._state
         return (
-            self._received,
+            self._received_count,
             state.loads.version,
             state.usage.version,
-            state.freshness.news,
+            state.freshness.announce_version,
             state.stopping,
             state.directory.leaving_version,
             len(state.reads),
             len(state.notices),
         )
 
-    def _exchange(self, now):
+    def _exchange_reports(self, now):
         state = self._state
         plan = self._update_plan(now)
         own = make_own_totals(state, now)
-        children = self._get_reports(plan.group, Role.UP, now)
+        group_reports = self._get_reports(plan.group, Role.UP, now)
         remote = Totals()
-        for report in children.values():
+        for report in group_reports.values():
             remote.add_report(report)
         # Sums over the group and over all are for relays' links only.
-        group = remote.joined(own) if plan.is_relay else own
-        for report in self._get_sources(plan, now):
+        group_totals = remote.joined(own) if plan.is_relay else own
+        for report in self._get_remote_reports(plan, now):
             remote.add_report(report)
-        self._apply(remote, own.gateways + remote.gateways, now)
-        everything = remote.joined(own) if children else own
-        self._links.add_reads(state.reads.take())
-        self._links.add_notices(_take_all(state.notices))
+        self._apply_totals(remote, own.gateways + remote.gateways, now)
+        fleet_totals = remote.joined(own) if group_reports else own
+        self._links.queue_reads(state.reads.take())
+        self._links.queue_notices(_drain(state.notices))
         for link in self._links:
-            self._serve(link, own, group, everything, children, now)
-        if now - self._asked_at >= _ASK_INTERVAL:
-            self._asked_at = now
-            self._ask(plan, now)
+            self._report_to(link, own, group_totals, fleet_totals, group_reports, now)
+        if now - self._hello_sent_at >= _HELLO_INTERVAL_S:
+            self._hello_sent_at = now
+            self._send_hellos(plan, now)
 
     def _update_plan(self, now):
         """Return the plan, made anew where members changed or time has passed."""
         state = self._state
-        basis = state.members.version
-        if self.plan is not None and basis == self._plan_basis:
-            if now < self._refresh_at:
+        members_version = state.members.version
+        if self.plan is not None and members_version == self._plan_members_version:
+            if now < self._next_refresh_at:
                 return self.plan
         for peer in state.members.drop_silent(now):
-            self._corrected.pop(peer.host, None)
+            self._corrected_at.pop(peer.host, None)
             state.log.note("peer lost", failed=True, peer=peer.host)
         plan = make_plan(state.members, now)
-        self._plan_basis = basis
-        self._note_plan(plan)
+        self._plan_members_version = members_version
+        self._replace_plan(plan)
         self._links.update(plan)
         return plan
 
-    def _note_plan(self, plan):
+    def _replace_plan(self, plan):
         old, self.plan = self.plan, plan
         self._state.members.is_relay = plan.is_relay
         relay = plan.relay.host if plan.relay else None
@@ -263,16 +266,16 @@
                 found[member.host] = peer.report
         return found
 
-    def _get_sources(self, plan, now):
+    def _get_remote_reports(self, plan, now):
         if plan.is_relay:
-            return self._get_reports(plan.fellows, Role.ACROSS, now).values()
+            return self._get_reports(plan.other_relays, Role.ACROSS, now).values()
         if plan.relay is None:
             return ()
         return self._get_reports([plan.relay], Role.DOWN, now).values()
 
-    def _apply(self, remote, gateways, now):
+    def _apply_totals(self, remote, gateways, now):
         state = self._state
-        state.retries.gateways = self._count_gateways(gateways, now)
+        state.retries.gateways = self._update_max_gateways(gateways, now)
         state.shares.set_remote(remote.usage)
         loads = {}
         for digest, row in remote.loads.items():
@@ -281,36 +284,41 @@
                 loads[instance_id] = row
         state.loads.set_remote(loads, now)
 
-    def _count_gateways(self, count, now):
+    def _update_max_gateways(self, count, now):
         """Return the greatest count of late.
 
         Those behind a cut go on spending their part of the retry budget.
         """
-        if count >= self._most[0] or now - self._most[1] > _COUNT_MEMORY:
-            self._most = (count, now)
-        return self._most[0]
-
-    def _serve(self, link, own, group, everything, children, now):
+        if (
+            count >= self._max_gateways[0]
+            or now - self._max_gateways[1] > _GATEWAY_COUNT_HOLD_S
+        ):
+            self._max_gateways = (count, now)
+        return self._max_gateways[0]
+
+    def _report_to(self, link, own, group_totals, fleet_totals, group_reports, now):
         members = self._state.members
         if members.is_suspect(link.member.host, now):
             return
-        totals = {Role.UP: own, Role.ACROSS: group, Role.DOWN: everything}[link.role]
-        child = children.get(link.member.host)
-        if link.role == Role.DOWN and child is not None:
-            totals = everything.without(child)
+        totals = {Role.UP: own, Role.ACROSS: group_totals, Role.DOWN: fleet_totals}[
+            link.role
+        ]
+        group_report = group_reports.get(link.member.host)
+        if link.role == Role.DOWN and group_report is not None:
+            totals = fleet_totals.without(group_report)
         state = self._state
-        told = (
+        reported = (
             totals.loads,
             totals.usage,
             state.stopping,
-            state.freshness.news,
+            state.freshness.announce_version,
             state.directory.leaving_version,
         )
-        due = now - link.told_at >= _HEARTBEAT
+        due = now - link.reported_at >= _HEARTBEAT_INTERVAL_S
         hints = link.reads or link.notices
-        if not due and not hints and told == link.told:
+        if not due and not hints and reported == link.reported:
             return
-        link.told, link.told_at = told, now
+        link.reported, link.reported_at = reported, now
         report = self._reporter.make(
             link.role,
             now,
@@ -323,17 +331,17 @@
         members.note_tried(link.member.host, now)
         self._send_to(link.member.address, report)
 
-    def _ask(self, plan, now):
+    def _send_hellos(self, plan, now):
         """Ask members that are not heard, and addresses, for a sign of life."""
         members = self._state.members
         report = self._reporter.make(Role.HELLO, now, with_members=True)
-        for member in plan.watched:
+        for member in plan.hello_targets:
             members.note_tried(member.host, now)
             self._send_to(member.address, report)
         for link in self._links:
             if members.is_suspect(link.member.host, now):
                 self._send_to(link.member.address, report)
-        for address in members.get_unnamed():
+        for address in members.get_unresolved_addresses():
             self._send_to(address, report)
 
     def _send_to(self, address, report):
@@ -347,7 +355,7 @@
             pass
 
 
-def _take_all(rows):
+def _drain(rows):
     """Return and forget what other parts of the gateway have left in a deque."""
     return [rows.popleft() for _ in range(len(rows))]
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/freshness.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/freshness.py
@@ -12,10 +12,10 @@
 from typing import NamedTuple
 
 # Configuration and upstreams.
-_TOPICS = 2
+_TOPIC_COUNT = 2
 # Seconds by which a view must have become newer for peers to be told before their next
 # heartbeat is due.
-_NEWS_STEP = 0.5
+_MIN_ANNOUNCE_STEP_S = 0.5
 # Numbers of incarnations are told apart by their last bits: one in 65,536 is mistaken,
 # and then its stamps must also lie within this process's life.
 _NUMBER_MASK = 0xFFFF
@@ -35,13 +35,13 @@
     """Times, on the steady clock, as of which the view is known to be whole."""
 
     def __init__(self):
-        self._answered = {}
-        self._told = None
-        self._announced = None
+        self._store_as_of = {}
+        self._peer_as_of = None
+        self._announced_as_of = None
         # Noted by the threads that read the store and by the loop.
         self._lock = threading.Lock()
         # Rises when peers should soon be told.
-        self.news = 0
+        self.announce_version = 0
         # Returns whether a record that has been read is not in force: ends then say
         # that more is known than is, and nothing makes the view newer.
         self.is_held = lambda: False
@@ -51,16 +51,18 @@
         if self.is_held():
             return
         with self._lock:
-            self._answered[topic] = max(as_of, self._answered.get(topic, as_of))
-            self._announce()
+            self._store_as_of[topic] = max(as_of, self._store_as_of.get(topic, as_of))
+            self._update_announcement()
 
     def note_peer(self, as_of):
         """Note that a peer whose view is no newer than ours had it whole then."""
         if self.is_held():
             return
         with self._lock:
-            self._told = as_of if self._told is None else max(as_of, self._told)
-            self._announce()
+            self._peer_as_of = (
+                as_of if self._peer_as_of is None else max(as_of, self._peer_as_of)
+            )
+            self._update_announcement()
 
     def get_age(self, now):
         """Return how many seconds ago the view was whole at the latest, or None."""
@@ -68,18 +70,21 @@
         return None if as_of is None else max(0.0, now - as_of)
 
     def _get_as_of(self):
-        if len(self._answered) < _TOPICS:
-            return self._told
-        answered = min(self._answered.values())
-        return answered if self._told is None else max(answered, self._told)
+        if len(self._store_as_of) < _TOPIC_COUNT:
+            return self._peer_as_of
+        answered = min(self._store_as_of.values())
+        return answered if self._peer_as_of is None else max(answered, self._peer_as_of)
 
-    def _announce(self):
+    def _update_announcement(self):
         as_of = self._get_as_of()
         if as_of is None:
             return
-        if self._announced is None or as_of - self._announced >= _NEWS_STEP:
-            self._announced = as_of
-            self.news += 1
+        if (
+            self._announced_as_of is None
+            or as_of - self._announced_as_of >= _MIN_ANNOUNCE_STEP_S
+        ):
+            self._announced_as_of = as_of
+            self.announce_version += 1
 
 
 class Stamps:
@@ -94,7 +99,7 @@
     def __init__(self, clock, number):
         self._clock = clock
         self._number = number & _NUMBER_MASK
-        self._started = clock()
+        self._started_at = clock()
 
     def make(self):
         """Return a stamp for a report that goes out now."""
@@ -104,7 +109,7 @@
         """Return the time of one of our stamps that an `Echo` holds, or None."""
         at = echo.stamp / 1000.0
         known = echo.number == self._number
-        return at if known and self._started <= at <= self._clock() else None
+        return at if known and self._started_at <= at <= self._clock() else None
 
 
 def make_echo(report):
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/links.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/links.py
@@ -5,43 +5,43 @@
 
 from .reports import Role
 
-_MAX_PENDING_READS = 400
-_READS_A_REPORT = 24
-_MAX_PENDING_NOTICES = 100
-_NOTICES_A_REPORT = 12
+_MAX_QUEUED_READS = 400
+_MAX_READS_PER_REPORT = 24
+_MAX_QUEUED_NOTICES = 100
+_MAX_NOTICES_PER_REPORT = 12
 # Datagrams get lost, and a notice that comes twice changes nothing.
-_TIMES_TOLD = 2
+_NOTICE_SEND_COUNT = 2
 # Hints that a relay hears of go on to those that cannot have heard them.
-_FORWARDED = {Role.UP: (Role.ACROSS, Role.DOWN), Role.ACROSS: (Role.DOWN,)}
+_FORWARD_ROLES = {Role.UP: (Role.ACROSS, Role.DOWN), Role.ACROSS: (Role.DOWN,)}
 
 
 class Link:
     """What one other gateway was told last, and the hints it is not told yet."""
 
-    __slots__ = ("member", "notices", "reads", "role", "told", "told_at")
+    __slots__ = ("member", "notices", "reads", "reported", "reported_at", "role")
 
     def __init__(self, member, role):
         self.member = member
         self.role = role
-        self.told = None
-        self.told_at = 0.0
-        self.reads = collections.deque(maxlen=_MAX_PENDING_READS)
+        self.reported = None
+        self.reported_at = 0.0
+        self.reads = collections.deque(maxlen=_MAX_QUEUED_READS)
         # Each with how many more times it is told.
-        self.notices = collections.deque(maxlen=_MAX_PENDING_NOTICES)
+        self.notices = collections.deque(maxlen=_MAX_QUEUED_NOTICES)
 
     def take_reads(self):
         """Return and forget as many reads as one report holds."""
-        count = min(len(self.reads), _READS_A_REPORT)
+        count = min(len(self.reads), _MAX_READS_PER_REPORT)
         return [self.reads.popleft() for _ in range(count)]
 
     def take_notices(self):
         """Return as many notices as one report holds, and keep those to tell again."""
         taken = []
-        for _ in range(min(len(self.notices), _NOTICES_A_REPORT)):
-            notice, times = self.notices.popleft()
+        for _ in range(min(len(self.notices), _MAX_NOTICES_PER_REPORT)):
+            notice, sends_left = self.notices.popleft()
             taken.append(notice)
-            if times > 1:
-                self.notices.append((notice, times - 1))
+            if sends_left > 1:
+                self.notices.append((notice, sends_left - 1))
         return taken
 
 
@@ -61,7 +61,7 @@
     def update(self, plan):
         """Have a link to everybody whom the plan says to report to."""
         wanted = {row.host: (row, Role.DOWN) for row in plan.group}
-        wanted.update({row.host: (row, Role.ACROSS) for row in plan.fellows})
+        wanted.update({row.host: (row, Role.ACROSS) for row in plan.other_relays})
         if plan.relay is not None:
             wanted[plan.relay.host] = (plan.relay, Role.UP)
         with self._lock:
@@ -73,7 +73,7 @@
                     link = self._by_host[host] = Link(member, role)
                 link.member = member
 
-    def add_reads(self, reads):
+    def queue_reads(self, reads):
         """Note reads of this gateway for everybody."""
         with self._lock:
             for link in self._by_host.values():
@@ -81,7 +81,7 @@
 
     def forward_reads(self, report):
         """Note the reads in a report for those that it did not go to."""
-        roles = _FORWARDED.get(report.role, ())
+        roles = _FORWARD_ROLES.get(report.role, ())
         if not report.reads or not roles:
             return
         with self._lock:
@@ -89,16 +89,18 @@
                 if link.role in roles and host != report.host:
                     link.reads.extend(report.reads)
 
-    def add_notices(self, notices):
+    def queue_notices(self, notices):
         """Note what this gateway found out of requests, for everybody."""
         with self._lock:
             for link in self._by_host.values():
-                link.notices.extend((notice, _TIMES_TOLD) for notice in notices)
+                link.notices.extend((notice, _NOTICE_SEND_COUNT) for notice in notices)
 
     def forward_notices(self, notices, role, sender):
         """Note news in a report of ``sender`` for those that it did not go to."""
-        roles = _FORWARDED.get(role, ())
+        roles = _FORWARD_ROLES.get(role, ())
         with self._lock:
             for host, link in self._by_host.items():
                 if link.role in roles and host != sender:
-                    link.notices.extend((notice, _TIMES_TOLD) for notice in notices)
+                    link.notices.extend(
+                        (notice, _NOTICE_SEND_COUNT) for notice in notices
+                    )
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
@@ -9,11 +9,11 @@
 from ..transport.sockets import is_address
 from .reports import Role
 
-_SILENT_AFTER = 1.5
-_FORGET_AFTER = 30.0
-_DOMAIN_SILENCE = 0.9
-_ANSWER_WAIT = 1.0
-_FIGURES = frozenset((Role.UP, Role.ACROSS, Role.DOWN))
+_SILENT_AFTER_S = 1.5
+_FORGET_AFTER_S = 30.0
+_DOMAIN_SILENT_AFTER_S = 0.9
+_REPLY_TIMEOUT_S = 1.0
+_ROLES_WITH_FIGURES = frozenset((Role.UP, Role.ACROSS, Role.DOWN))
 # Gateways up to which everybody reports to everybody and reads the store itself.
 MESH_LIMIT = 16
 
@@ -77,7 +77,7 @@
         self._lock = threading.Lock()
         self._known = {own.host: own}
         self._ranked = {own.domain: [own]}
-        self._unnamed = set()
+        self._unresolved = set()
         self._tried = {}
         self.peers = {}
         # Rises when a gateway is added, changes, or reports in another role.
@@ -101,12 +101,12 @@
 
     def add_address(self, address):
         """Note an address where some gateway may listen."""
-        if address != self.own.address and not self._is_named(address):
-            self._unnamed.add(address)
+        if address != self.own.address and not self._is_member_address(address):
+            self._unresolved.add(address)
 
-    def get_unnamed(self):
+    def get_unresolved_addresses(self):
         """Return addresses of which nothing else is known."""
-        return list(self._unnamed)
+        return list(self._unresolved)
 
     def get(self, host):
         """Return the `Member` of a host, or None."""
@@ -138,9 +138,9 @@
             return None
         with self._lock:
             old = self.peers.get(report.host)
-            if old is not None and not _is_later(report, old, now):
+            if old is not None and not _is_newer(report, old, now):
                 return None
-            sends_figures = report.role in _FIGURES or (
+            sends_figures = report.role in _ROLES_WITH_FIGURES or (
                 old is not None and old.sends_figures
             )
             if old is None or old.report.role != report.role:
@@ -155,55 +155,58 @@
     def note_tried(self, host, now):
         """Note that the host was sent something and should answer."""
         peer = self.peers.get(host)
-        if peer is None or now - peer.heard > _ANSWER_WAIT:
+        if peer is None or now - peer.heard > _REPLY_TIMEOUT_S:
             self._tried.setdefault(host, now)
 
     def is_suspect(self, host, now):
         """Return whether the host was tried and has not answered."""
-        tried = self._tried.get(host)
-        return tried is not None and now - tried > _ANSWER_WAIT
+        sent_at = self._tried.get(host)
+        return sent_at is not None and now - sent_at > _REPLY_TIMEOUT_S
 
     def get_live(self, now):
         """Return the peers heard from lately."""
         peers = list(self.peers.values())
-        return [peer for peer in peers if now - peer.heard < _SILENT_AFTER]
+        return [peer for peer in peers if now - peer.heard < _SILENT_AFTER_S]
 
     def is_live(self, host, now):
         """Return whether the host was heard from lately."""
         peer = self.peers.get(host)
-        return peer is not None and now - peer.heard < _SILENT_AFTER
+        return peer is not None and now - peer.heard < _SILENT_AFTER_S
 
     def get_silent_domains(self, now):
         """Return the domains that reported to this gateway or its relay and stopped."""
         if not self.is_relay:
-            return self._get_reported_silent(now)
+            return self._get_domains_reported_silent(now)
         reporting = set()
-        heard = set()
+        live = set()
         for peer in list(self.peers.values()):
             if peer.sends_figures:
                 reporting.add(peer.report.domain)
-            if now - peer.heard < _DOMAIN_SILENCE:
-                heard.add(peer.report.domain)
-        return (reporting - heard) | self._get_reported_silent(now)
+            if now - peer.heard < _DOMAIN_SILENT_AFTER_S:
+                live.add(peer.report.domain)
+        return (reporting - live) | self._get_domains_reported_silent(now)
 
-    def _get_reported_silent(self, now):
+    def _get_domains_reported_silent(self, now):
         """Return the silent domains that relays name in their reports to this one."""
         silent = set()
         for peer in list(self.peers.values()):
-            if now - peer.heard < _DOMAIN_SILENCE and peer.report.role == Role.DOWN:
+            if (
+                now - peer.heard < _DOMAIN_SILENT_AFTER_S
+                and peer.report.role == Role.DOWN
+            ):
                 silent.update(peer.report.silent)
         return silent
 
     def drop_silent(self, now):
         """Forget and return the peers that have been silent for long."""
         with self._lock:
-            gone = [p for p in self.peers.values() if now - p.heard > _FORGET_AFTER]
+            gone = [p for p in self.peers.values() if now - p.heard > _FORGET_AFTER_S]
             for peer in gone:
                 del self.peers[peer.host]
-                self._tried.setdefault(peer.host, now - _ANSWER_WAIT)
+                self._tried.setdefault(peer.host, now - _REPLY_TIMEOUT_S)
         return gone
 
-    def _is_named(self, address):
+    def _is_member_address(self, address):
         return any(member.address == address for member in self._known.values())
 
     def _put(self, member):
@@ -212,7 +215,7 @@
             return
         self.version += 1
         self._known[member.host] = member
-        self._unnamed.discard(member.address)
+        self._unresolved.discard(member.address)
         rows = [row for row in self._known.values() if row.domain == member.domain]
         self._ranked[member.domain] = sorted(rows, key=_get_rank)
         if old is not None and old.domain != member.domain:
@@ -220,12 +223,12 @@
             self._ranked[old.domain] = sorted(rows, key=_get_rank)
 
 
-def _is_later(report, old, now):
+def _is_newer(report, old, now):
     if (report.number, report.seq) > (old.report.number, old.report.seq):
         return True
     # A clock that was set back gives a later start a lower number; then the
     # silence of the other one tells them apart.
-    return now - old.heard >= _SILENT_AFTER
+    return now - old.heard >= _SILENT_AFTER_S
 
 
 def _get_rank(member):
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/relays.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/relays.py
@@ -14,31 +14,31 @@
 
 from .reports import Role
 
-_GROUP_SIZE = 16
+_GATEWAYS_PER_RELAY = 16
 _MIN_RELAYS = 2
-_STANDBYS = 2
+_STANDBY_RELAY_COUNT = 2
 
 
 class Plan(NamedTuple):
     """A gateway's part in the exchange.
 
-    ``relay`` is the `Member` to report to, None for a relay; ``fellows`` are
-    the other relays and ``group`` those that report to this one; ``watched``
+    ``relay`` is the `Member` to report to, None for a relay; ``other_relays`` are
+    the other relays and ``group`` those that report to this one; ``hello_targets``
     are members to ask for a sign of life.
     """
 
     is_relay: bool
     relay: object
-    fellows: tuple
+    other_relays: tuple
     group: tuple
-    watched: tuple
+    hello_targets: tuple
 
 
 def count_relays(domain_size, is_mesh):
     """Return how many relays a failure domain has."""
     if is_mesh:
         return domain_size
-    wanted = math.ceil(domain_size / _GROUP_SIZE)
+    wanted = math.ceil(domain_size / _GATEWAYS_PER_RELAY)
     return min(domain_size, max(_MIN_RELAYS, wanted))
 
 
@@ -51,14 +51,14 @@
     )
     relays = _choose_relays(members, own.domain, now)
     if own in relays or group:
-        fellows = _find_fellows(members, live, now)
-        watched = _find_unheard(members, members.get_domains(), now)
-        return Plan(True, None, fellows, group, watched)
-    relay = relays[_get_place(own.host) % len(relays)] if relays else None
-    watched = ()
+        other_relays = _find_other_relays(members, live, now)
+        hello_targets = _find_silent_candidates(members, members.get_domains(), now)
+        return Plan(True, None, other_relays, group, hello_targets)
+    relay = relays[_hash_host(own.host) % len(relays)] if relays else None
+    hello_targets = ()
     if own in _get_candidates(members, own.domain):
-        watched = _find_unheard(members, [own.domain], now)
-    return Plan(False, relay, (), (), watched)
+        hello_targets = _find_silent_candidates(members, [own.domain], now)
+    return Plan(False, relay, (), (), hello_targets)
 
 
 def _choose_relays(members, domain, now):
@@ -70,10 +70,10 @@
 
 def _get_candidates(members, domain):
     ranked = members.get_ranked(domain)
-    return ranked[: count_relays(len(ranked), members.is_mesh) + _STANDBYS]
+    return ranked[: count_relays(len(ranked), members.is_mesh) + _STANDBY_RELAY_COUNT]
 
 
-def _find_fellows(members, live, now):
+def _find_other_relays(members, live, now):
     found = {
         peer.host: members.get(peer.host)
         for peer in live
@@ -86,7 +86,7 @@
     return tuple(found.values())
 
 
-def _find_unheard(members, domains, now):
+def _find_silent_candidates(members, domains, now):
     return tuple(
         row
         for domain in domains
@@ -95,5 +95,5 @@
     )
 
 
-def _get_place(host):
+def _hash_host(host):
     return xxhash.xxh32_intdigest(host.encode())
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
@@ -8,7 +8,7 @@
 from .reports import VERSION, Report
 from .sums import Totals
 
-_MEMBERS_A_REPORT = 10
+_MAX_MEMBERS_PER_REPORT = 10
 # Their records say so too once the store is back; more than these leave at once only
 # where a whole service does.
 _MAX_LEAVING = 32
@@ -23,7 +23,7 @@
     return notices + [Notice(fingerprint, None) for fingerprint in report.cleared]
 
 
-def _make_row(notice, now):
+def _make_crash_row(notice, now):
     """Return a crash with ages in milliseconds, as clocks of hosts differ."""
     crash = notice.crash
     sent = round((now - crash.sent) * 1000.0)
@@ -99,21 +99,21 @@
             stamp=self._stamps.make(),
             echo=make_echo(peer.report if peer else None),
             quarantine_offset=state.quarantine_offset,
-            crashes=[_make_row(row, now) for row in notices if row.crash],
+            crashes=[_make_crash_row(row, now) for row in notices if row.crash],
             cleared=[row.fingerprint for row in notices if not row.crash],
             leaving=self._get_leaving(),
         )
 
-    def note_view(self, report):
+    def observe_peer_view(self, report):
         """Take in how old the view of a peer is that knows no more than we do."""
         state = self._state
-        spoken_after = self._stamps.get_time(report.echo)
-        if spoken_after is None or report.store_age < 0.0:
+        sent_after = self._stamps.get_time(report.echo)
+        if sent_after is None or report.store_age < 0.0:
             return
         known = get_version(state) >= report.catalog_version
         known = known and state.catalog_offset >= report.catalog_offset
         if known and state.directory_offset >= report.directory_offset:
-            state.freshness.note_peer(spoken_after - report.store_age)
+            state.freshness.note_peer(sent_after - report.store_age)
 
     def _get_leaving(self):
         """Return the digests of instances whose records do not say that they leave.
@@ -127,5 +127,5 @@
     def _pick_members(self, now):
         members = self._state.members
         live = [members.get(peer.host) for peer in members.get_live(now)]
-        picked = self._rng.sample(live, min(len(live), _MEMBERS_A_REPORT))
+        picked = self._rng.sample(live, min(len(live), _MAX_MEMBERS_PER_REPORT))
         return [tuple(member) for member in [members.own, *picked]]
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/reports.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/reports.py
@@ -117,10 +117,10 @@
     data = _encoder.encode(report)
     while len(data) > MAX_BYTES:
         if len(report.loads) > _MIN_LOADS:
-            loads = _keep_greatest(report.loads)
+            loads = _drop_smallest(report.loads)
             report = msgspec.structs.replace(report, loads=loads)
         else:
-            usage = _keep_greatest(report.usage)
+            usage = _drop_smallest(report.usage)
             report = msgspec.structs.replace(report, usage=usage)
         data = _encoder.encode(report)
     return data
@@ -135,6 +135,6 @@
     return report if report.version == VERSION else None
 
 
-def _keep_greatest(rows):
+def _drop_smallest(rows):
     kept = sorted(rows.items(), key=lambda item: item[1], reverse=True)
     return dict(kept[: int(len(kept) * _KEPT_RATIO)])
