--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/__init__.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The other gateways: who they are, and the reports exchanged with them.
+"""Membership of the gateway fleet and the exchange of reports between gateways.
 
 Imports ``transport``, ``quarantine`` and ``upstreams``.
 """
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
@@ -1,7 +1,7 @@
 """Exchange of reports with the other gateways over UDP.
 
-Datagrams, not connections: what is reported is soft state, of which only the
-newest counts, and a peer behind a cut must hold nobody up.
+Reports are sent as datagrams rather than over connections: they carry soft state, of
+which only the newest is used, and an unreachable peer must not block the sender.
 """
 
 import asyncio
@@ -19,26 +19,27 @@
 from .reports import Role, decode_report, encode_report
 from .sums import Totals
 
-# Seconds between ticks: in a mesh or with many requests under way, behind relays,
-# and with nothing to report.
+# Intervals between ticks: in a full mesh or with many requests in flight, behind
+# relays, and with nothing to report.
 _BUSY_INTERVAL_S = 0.02
 _RELAYED_INTERVAL_S = 0.05
 _QUIET_INTERVAL_S = 0.1
-# A relay of many links sends less often.
+# A relay with many links sends less often.
 _INTERVAL_PER_LINK_S = 0.002
 _MIN_BUSY_INFLIGHT = 8
-# What depends on time alone (silence, expiry of usage) is recomputed this often.
+# State that depends on time alone (silent peers, expiry of usage) is recomputed at this
+# interval.
 _REFRESH_INTERVAL_S = 0.1
 _HEARTBEAT_INTERVAL_S = 0.3
 _GATEWAY_COUNT_HOLD_S = 30.0
 _HELLO_INTERVAL_S = 1.0
 _RECEIVE_BUFFER_BYTES = 2_048
-# So that requests are not behind a flood of reports.
+# Limits how long a burst of reports delays requests on the event loop.
 _MAX_DATAGRAMS_PER_WAKEUP = 16
 
 
 class Fleet:
-    """Sends this gateway's reports and takes in those of the others."""
+    """Sends this gateway's reports and applies those of the other gateways."""
 
     def __init__(self, state, address, sock, number, seed=None):
         self._state = state
@@ -50,8 +51,8 @@
         self._corrected_at = {}
         self._max_gateways = (1, 0.0)
         self._task = None
-        # Reports received so far; a tick has nothing to do while this and the versions
-        # of what is reported stay the same.
+        # A tick has nothing to do while the number of reports received and the versions
+        # of the reported state are unchanged.
         self._received_count = 0
         self._exchanged_versions = None
         self._next_refresh_at = 0.0
@@ -60,13 +61,13 @@
         self.sent_bytes = 0
 
     def start(self, loop):
-        """Send and receive on the event loop."""
+        """Start sending and receiving on the event loop."""
         self._sock.setblocking(False)
         loop.add_reader(self._sock, self._receive_pending)
         self._task = loop.create_task(self._send())
 
     def close(self, loop):
-        """Send and receive no more."""
+        """Stop sending and receiving, and close the socket."""
         loop.remove_reader(self._sock)
         self._task.cancel()
         self._sock.close()
@@ -94,7 +95,7 @@
         return max(interval, _INTERVAL_PER_LINK_S * len(self._links))
 
     def _receive_pending(self):
-        """Take in datagrams that wait; some are left for the next turn."""
+        """Receive pending datagrams; the rest is left for the next wake-up."""
         for _ in range(_MAX_DATAGRAMS_PER_WAKEUP):
             try:
                 data, sender = self._sock.recvfrom(_RECEIVE_BUFFER_BYTES)
@@ -103,14 +104,14 @@
             self._run_logging_faults(self.receive, data, sender)
 
     def _run_logging_faults(self, action, *args):
-        """Go on after a fault; the next report makes up for this one."""
+        """Call ``action`` and log an exception; the next report replaces a lost one."""
         try:
             action(*args)
         except Exception as exc:
             self._state.log.note("report failed", failed=True, why=repr(exc))
 
     def receive(self, data, sender):
-        """Take in a datagram from ``sender``, an (IP, port) pair."""
+        """Apply a datagram from ``sender``, an (IP, port) pair."""
         report = decode_report(data)
         if report is None:
             return
@@ -139,9 +140,10 @@
             state.log.note("peer heard", peer=report.host, address=address)
 
     def _is_misdirected(self, report, now):
-        """Return whether a relay takes this gateway for one and should be told.
+        """Return whether a relay wrongly treats this gateway as a relay.
 
-        It knows too few members; those in the answer make up for it.
+        This happens while the sender's list of members is incomplete; the members in
+        the ``ALIVE`` report sent to it complete the list.
         """
         if report.role != Role.ACROSS or self.plan is None or self.plan.is_relay:
             return False
@@ -176,11 +178,11 @@
                 note_leaving(state, instance_id, "peer", peer=report.host)
 
     def count_links(self):
-        """Return how many gateways this one reports to."""
+        """Return the number of gateways that this one reports to."""
         return len(self._links)
 
     def tick(self, now):
-        """Send what is due and take in the sums of what was reported."""
+        """Send the reports that are due and apply the totals of those received."""
         if now < self._next_refresh_at and not self._has_changes():
             return
         versions = self._get_versions()
@@ -190,13 +192,13 @@
             self._next_refresh_at = now + _REFRESH_INTERVAL_S
 
     def _has_changes(self):
-        """Return whether there may be something to report or to take in."""
+        """Return whether there may be something to report or to apply."""
         if any(link.reads or link.notices for link in self._links):
             return True
         return self._exchanged_versions != self._get_versions()
 
     def _get_versions(self):
-        """Return what changes with everything that is reported."""
+        """Return a tuple that changes whenever any reported state changes."""
         state = self._state
         return (
             self._received_count,
@@ -217,7 +219,7 @@
         remote = Totals()
         for report in group_reports.values():
             remote.add_report(report)
-        # Sums over the group and over all are for relays' links only.
+        # Totals of the group and of the fleet are sent on the links of relays only.
         group_totals = remote.joined(own) if plan.is_relay else own
         for report in self._get_remote_reports(plan, now):
             remote.add_report(report)
@@ -232,7 +234,7 @@
             self._send_hellos(plan, now)
 
     def _update_plan(self, now):
-        """Return the plan, made anew where members changed or time has passed."""
+        """Return the plan, rebuilt after a change of members or a refresh interval."""
         state = self._state
         members_version = state.members.version
         if self.plan is not None and members_version == self._plan_members_version:
@@ -257,7 +259,7 @@
             )
 
     def _get_reports(self, members, role, now):
-        """Return {host: Report} of the live ones among ``members`` in a role."""
+        """Return {host: Report} of the live ``members`` that report in a role."""
         found = {}
         for member in members:
             peer = self._state.members.peers.get(member.host)
@@ -285,9 +287,9 @@
         state.loads.set_remote(loads, now)
 
     def _update_max_gateways(self, count, now):
-        """Return the greatest count of late.
+        """Return the highest number of gateways seen recently.
 
-        Those behind a cut go on spending their part of the retry budget.
+        Gateways behind a network partition go on using their part of the retry budget.
         """
         if (
             count >= self._max_gateways[0]
@@ -332,7 +334,7 @@
         self._send_to(link.member.address, report)
 
     def _send_hellos(self, plan, now):
-        """Ask members that are not heard, and addresses, for a sign of life."""
+        """Send ``HELLO`` to silent or suspect members and unresolved addresses."""
         members = self._state.members
         report = self._reporter.make(Role.HELLO, now, with_members=True)
         for member in plan.hello_targets:
@@ -351,17 +353,17 @@
                 self._sock.sendto(data, (host, int(port)))
                 self.sent_bytes += len(data)
         except OSError:
-            # Soft state: the next report will do.
+            # Reports are soft state: the next one replaces the one lost here.
             pass
 
 
 def _drain(rows):
-    """Return and forget what other parts of the gateway have left in a deque."""
+    """Remove and return all rows of a deque that other components append to."""
     return [rows.popleft() for _ in range(len(rows))]
 
 
 def create_fleet(state, address):
-    """Return a `Fleet` on the address, in a new incarnation."""
+    """Return a `Fleet` bound to the address, with a new incarnation number."""
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind((host, int(port)))
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/freshness.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/freshness.py
@@ -1,30 +1,31 @@
-"""As of when this gateway's view of the store is known to be complete.
-
-A gateway that reads the store knows it from the store's answers. The others rely on a
-peer's report that its view, up to the same offsets, was complete some seconds before
-the report was sent. The time of sending is unknown, but the report echoes a stamp of
-this gateway's own clock and so was sent after it. Network delay, queues and pauses
-therefore make a view look older than it is, never younger, and an age that is passed
-around in circles is not renewed.
+"""The time as of which this gateway's view of the store is complete.
+
+A gateway that reads the store takes this time from the store's responses. The others
+rely on a peer's report that its view, up to the same offsets, was complete some seconds
+before the report was sent. The time of sending is unknown, but the report echoes a
+stamp of this gateway's own clock and so was sent after it. Network delay, queues and
+pauses therefore make a view look older than it is, never younger, and an age that
+gateways report to each other in a cycle does not become younger.
 """
 
 import threading
 from typing import NamedTuple
 
-# Configuration and upstreams.
+# The topics are the configuration and the upstream instances.
 _TOPIC_COUNT = 2
-# Seconds by which a view must have become newer for peers to be told before their next
+# A view that has become newer by at least this is reported to peers before the next
 # heartbeat is due.
 _MIN_ANNOUNCE_STEP_S = 0.5
-# Numbers of incarnations are told apart by their last bits: one in 65,536 is mistaken,
-# and then its stamps must also lie within this process's life.
+# Incarnation numbers are compared by their low 16 bits. One in 65,536 collides, and a
+# stamp from it is accepted only if it lies within the lifetime of this process.
 _NUMBER_MASK = 0xFFFF
 
 
 class Echo(NamedTuple):
-    """The newest stamp got from a peer, sent back to it; see `Stamps`.
+    """The newest stamp received from a peer, sent back to it; see `Stamps`.
 
-    ``number`` tells the peer's incarnation, ``stamp`` is in milliseconds on its clock.
+    ``number`` identifies the peer's incarnation; ``stamp`` is in milliseconds on the
+    peer's clock.
     """
 
     number: int = -1
@@ -32,22 +33,22 @@
 
 
 class Freshness:
-    """Times, on the steady clock, as of which the view is known to be whole."""
+    """The times, on the monotonic clock, as of which the view is complete."""
 
     def __init__(self):
         self._store_as_of = {}
         self._peer_as_of = None
         self._announced_as_of = None
-        # Noted by the threads that read the store and by the loop.
+        # Times are recorded by the threads that read the store and by the event loop.
         self._lock = threading.Lock()
-        # Rises when peers should soon be told.
+        # Increases when the new time should be reported to peers early.
         self.announce_version = 0
-        # Returns whether a record that has been read is not in force: ends then say
-        # that more is known than is, and nothing makes the view newer.
+        # Returns whether a record has been read but is not in force. The topic offsets
+        # then claim more than the view contains, and the view is not marked as newer.
         self.is_held = lambda: False
 
     def note_answer(self, topic, as_of):
-        """Note that the store's answers on a topic are whole as of a time."""
+        """Record that the store's responses on a topic are complete as of a time."""
         if self.is_held():
             return
         with self._lock:
@@ -55,7 +56,7 @@
             self._update_announcement()
 
     def note_peer(self, as_of):
-        """Note that a peer whose view is no newer than ours had it whole then."""
+        """Record a time as of which a peer with no newer view had it complete."""
         if self.is_held():
             return
         with self._lock:
@@ -65,7 +66,7 @@
             self._update_announcement()
 
     def get_age(self, now):
-        """Return how many seconds ago the view was whole at the latest, or None."""
+        """Return an upper bound of the view's age in seconds, or None if unknown."""
         as_of = self._get_as_of()
         return None if as_of is None else max(0.0, now - as_of)
 
@@ -88,12 +89,12 @@
 
 
 class Stamps:
-    """Stamps of this gateway's clock, and what peers' echoes of them tell.
+    """Stamps of this gateway's clock, and the times in peers' echoes of them.
 
     Parameters
     ----------
     number : int
-        This incarnation, so that echoes to an earlier one are not taken.
+        Number of this incarnation; echoes of stamps of other incarnations are ignored.
     """
 
     def __init__(self, clock, number):
@@ -102,18 +103,18 @@
         self._started_at = clock()
 
     def make(self):
-        """Return a stamp for a report that goes out now."""
+        """Return a stamp for a report that is sent now."""
         return int(self._clock() * 1000.0)
 
     def get_time(self, echo):
-        """Return the time of one of our stamps that an `Echo` holds, or None."""
+        """Return the time of this gateway's stamp in an `Echo`, or None."""
         at = echo.stamp / 1000.0
         known = echo.number == self._number
         return at if known and self._started_at <= at <= self._clock() else None
 
 
 def make_echo(report):
-    """Return the `Echo` of a peer's report, which may be None."""
+    """Return the `Echo` of a peer's report; an empty one if the report is None."""
     if report is None:
         return Echo()
     return Echo(report.number & _NUMBER_MASK, report.stamp)
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/links.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/links.py
@@ -1,4 +1,4 @@
-"""To whom a gateway reports, and what each was told last."""
+"""The gateways that this one reports to, and the last state reported to each."""
 
 import collections
 import threading
@@ -9,14 +9,15 @@
 _MAX_READS_PER_REPORT = 24
 _MAX_QUEUED_NOTICES = 100
 _MAX_NOTICES_PER_REPORT = 12
-# Datagrams get lost, and a notice that comes twice changes nothing.
+# Datagrams may be lost; a duplicate notice has no effect.
 _NOTICE_SEND_COUNT = 2
-# Hints that a relay hears of go on to those that cannot have heard them.
+# A relay forwards received hints on the links whose gateways cannot have received them
+# yet.
 _FORWARD_ROLES = {Role.UP: (Role.ACROSS, Role.DOWN), Role.ACROSS: (Role.DOWN,)}
 
 
 class Link:
-    """What one other gateway was told last, and the hints it is not told yet."""
+    """One gateway to report to: the state reported last and the hints still queued."""
 
     __slots__ = ("member", "notices", "reads", "reported", "reported_at", "role")
 
@@ -26,16 +27,16 @@
         self.reported = None
         self.reported_at = 0.0
         self.reads = collections.deque(maxlen=_MAX_QUEUED_READS)
-        # Each with how many more times it is told.
+        # Pairs of a notice and the number of sends left.
         self.notices = collections.deque(maxlen=_MAX_QUEUED_NOTICES)
 
     def take_reads(self):
-        """Return and forget as many reads as one report holds."""
+        """Remove and return as many reads as one report holds."""
         count = min(len(self.reads), _MAX_READS_PER_REPORT)
         return [self.reads.popleft() for _ in range(count)]
 
     def take_notices(self):
-        """Return as many notices as one report holds, and keep those to tell again."""
+        """Return as many notices as one report holds; requeue those with sends left."""
         taken = []
         for _ in range(min(len(self.notices), _MAX_NOTICES_PER_REPORT)):
             notice, sends_left = self.notices.popleft()
@@ -46,7 +47,7 @@
 
 
 class Links:
-    """The links of a gateway by host; reads arrive from other threads."""
+    """The links of a gateway by host; reads may be queued from other threads."""
 
     def __init__(self):
         self._by_host = {}
@@ -59,7 +60,7 @@
         return iter(list(self._by_host.values()))
 
     def update(self, plan):
-        """Have a link to everybody whom the plan says to report to."""
+        """Add and remove links so that they match the plan."""
         wanted = {row.host: (row, Role.DOWN) for row in plan.group}
         wanted.update({row.host: (row, Role.ACROSS) for row in plan.other_relays})
         if plan.relay is not None:
@@ -74,13 +75,13 @@
                 link.member = member
 
     def queue_reads(self, reads):
-        """Note reads of this gateway for everybody."""
+        """Queue reads that follow from this gateway's requests on all links."""
         with self._lock:
             for link in self._by_host.values():
                 link.reads.extend(reads)
 
     def forward_reads(self, report):
-        """Note the reads in a report for those that it did not go to."""
+        """Queue the reads in a report for the gateways that it was not sent to."""
         roles = _FORWARD_ROLES.get(report.role, ())
         if not report.reads or not roles:
             return
@@ -90,13 +91,13 @@
                     link.reads.extend(report.reads)
 
     def queue_notices(self, notices):
-        """Note what this gateway found out of requests, for everybody."""
+        """Queue notices of this gateway about requests on all links."""
         with self._lock:
             for link in self._by_host.values():
                 link.notices.extend((notice, _NOTICE_SEND_COUNT) for notice in notices)
 
     def forward_notices(self, notices, role, sender):
-        """Note news in a report of ``sender`` for those that it did not go to."""
+        """Queue new notices from ``sender`` for gateways its report was not sent to."""
         roles = _FORWARD_ROLES.get(role, ())
         with self._lock:
             for host, link in self._by_host.items():
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
@@ -1,4 +1,4 @@
-"""Which other gateways there are, and what each reported last."""
+"""The members of the gateway fleet and the latest report of each."""
 
 import math
 import threading
@@ -14,14 +14,14 @@
 _DOMAIN_SILENT_AFTER_S = 0.9
 _REPLY_TIMEOUT_S = 1.0
 _ROLES_WITH_FIGURES = frozenset((Role.UP, Role.ACROSS, Role.DOWN))
-# Gateways up to which everybody reports to everybody and reads the store itself.
+# Up to this many gateways, each reports to all others and reads the store itself.
 MESH_LIMIT = 16
 
 
 class Member(NamedTuple):
-    """A gateway that exists or once did.
+    """A gateway that runs or has run.
 
-    ``address`` takes its reports; ``capacity`` is its processor in cores.
+    ``address`` is where it receives reports; ``capacity`` is its number of CPU cores.
     """
 
     host: str
@@ -31,21 +31,22 @@
 
 
 def parse_member(host, data):
-    """Return the `Member` in the bytes of a record; raises ValueError."""
+    """Return the `Member` in the bytes of a record; raises ValueError if malformed."""
     domain, address, capacity = data.decode("latin-1").split(" ")
     member = Member(host, domain, address, float(capacity))
     if not math.isfinite(member.capacity) or member.capacity <= 0.0:
-        raise ValueError(f"capacity {capacity[:20]}")
+        raise ValueError(f"capacity is not a positive, finite number: {capacity[:20]}")
     if not is_address(address):
-        raise ValueError(f"no address: {address[:40]}")
+        raise ValueError(f"address is not IP:port: {address[:40]}")
     return member
 
 
 class Peer(NamedTuple):
-    """The latest report of one gateway; ``heard`` is on the steady clock.
+    """The latest report of one gateway.
 
-    ``sends_figures`` tells whether it has reported figures here, which it then does all
-    the time, or has only answered when it was asked.
+    ``heard`` is the time of its receipt on the monotonic clock. ``sends_figures`` is
+    true for a gateway that has reported figures to this one, and therefore does so
+    regularly, and false for one that has only replied to a ``HELLO``.
     """
 
     address: str
@@ -60,15 +61,15 @@
 
 
 class Members:
-    """Gateways known, and those heard from, by host.
+    """The known gateways and the latest reports received, by host.
 
-    A gateway that does not answer is suspect until it is heard again.
+    A gateway that does not reply is suspect until a report from it is received.
 
     Parameters
     ----------
     own : Member
     mesh_limit : int
-        Up to how many gateways the fleet needs no relays.
+        Number of gateways up to which the fleet needs no relays.
     """
 
     def __init__(self, own, mesh_limit=MESH_LIMIT):
@@ -80,9 +81,9 @@
         self._unresolved = set()
         self._tried = {}
         self.peers = {}
-        # Rises when a gateway is added, changes, or reports in another role.
+        # Increases when a gateway is added, changes, or reports in another role.
         self.version = 0
-        # Whether other domains report here, as the exchange's plan says.
+        # Whether other domains report to this gateway, according to its current `Plan`.
         self.is_relay = True
 
     def __len__(self):
@@ -90,22 +91,22 @@
 
     @property
     def is_mesh(self):
-        """Return whether the fleet is so small that it needs no relays."""
+        """Return whether the fleet is small enough to need no relays."""
         return len(self) <= self._mesh_limit
 
     def add(self, member):
-        """Note a gateway that somebody told of; what it says itself counts more."""
+        """Add a member learned from a third party, unless it has reported itself."""
         with self._lock:
             if member.host not in self.peers:
                 self._put(member)
 
     def add_address(self, address):
-        """Note an address where some gateway may listen."""
+        """Add an address at which a gateway may listen, unless its host is known."""
         if address != self.own.address and not self._is_member_address(address):
             self._unresolved.add(address)
 
     def get_unresolved_addresses(self):
-        """Return addresses of which nothing else is known."""
+        """Return the added addresses whose hosts are unknown."""
         return list(self._unresolved)
 
     def get(self, host):
@@ -113,17 +114,17 @@
         return self._known.get(host)
 
     def get_domains(self):
-        """Return the failure domains with members."""
+        """Return the failure domains that have members."""
         return list(self._ranked)
 
     def get_ranked(self, domain):
-        """Return the members of a domain in an order that all agree on."""
+        """Return the members of a domain in an order that is the same everywhere."""
         return self._ranked.get(domain, [])
 
     def find_senior(self, now):
-        """Return the first member before this one in its domain that is not suspect.
+        """Return the first unsuspected member ranked before this one in its domain.
 
-        None where there is none: then this gateway acts for its domain.
+        None means that this gateway itself acts for its domain.
         """
         for member in self.get_ranked(self.own.domain):
             if member == self.own:
@@ -133,7 +134,7 @@
         return None
 
     def note(self, report, address, now):
-        """Take in a report; return its `Peer`, or None for an old one."""
+        """Store a report; return its `Peer`, or None for an outdated or own report."""
         if report.host == self.own.host:
             return None
         with self._lock:
@@ -153,28 +154,28 @@
             return peer
 
     def note_tried(self, host, now):
-        """Note that the host was sent something and should answer."""
+        """Record a send that the host should reply to."""
         peer = self.peers.get(host)
         if peer is None or now - peer.heard > _REPLY_TIMEOUT_S:
             self._tried.setdefault(host, now)
 
     def is_suspect(self, host, now):
-        """Return whether the host was tried and has not answered."""
+        """Return whether the host has left a send without a reply for too long."""
         sent_at = self._tried.get(host)
         return sent_at is not None and now - sent_at > _REPLY_TIMEOUT_S
 
     def get_live(self, now):
-        """Return the peers heard from lately."""
+        """Return the peers that have reported recently."""
         peers = list(self.peers.values())
         return [peer for peer in peers if now - peer.heard < _SILENT_AFTER_S]
 
     def is_live(self, host, now):
-        """Return whether the host was heard from lately."""
+        """Return whether the host has reported recently."""
         peer = self.peers.get(host)
         return peer is not None and now - peer.heard < _SILENT_AFTER_S
 
     def get_silent_domains(self, now):
-        """Return the domains that reported to this gateway or its relay and stopped."""
+        """Return the domains that no longer report to this gateway or its relay."""
         if not self.is_relay:
             return self._get_domains_reported_silent(now)
         reporting = set()
@@ -187,7 +188,7 @@
         return (reporting - live) | self._get_domains_reported_silent(now)
 
     def _get_domains_reported_silent(self, now):
-        """Return the silent domains that relays name in their reports to this one."""
+        """Return the silent domains listed in relays' reports to this gateway."""
         silent = set()
         for peer in list(self.peers.values()):
             if (
@@ -198,7 +199,7 @@
         return silent
 
     def drop_silent(self, now):
-        """Forget and return the peers that have been silent for long."""
+        """Remove and return the peers that have been silent for too long."""
         with self._lock:
             gone = [p for p in self.peers.values() if now - p.heard > _FORGET_AFTER_S]
             for peer in gone:
@@ -226,11 +227,11 @@
 def _is_newer(report, old, now):
     if (report.number, report.seq) > (old.report.number, old.report.seq):
         return True
-    # A clock that was set back gives a later start a lower number; then the
-    # silence of the other one tells them apart.
+    # After the clock was set back, a later start has a lower incarnation number. Its
+    # reports are accepted once the earlier incarnation is silent.
     return now - old.heard >= _SILENT_AFTER_S
 
 
 def _get_rank(member):
-    """Rank the larger hosts first: relays have more to do than others."""
+    """Return a sort key that ranks larger hosts first, as relays have more work."""
     return (-member.capacity, xxhash.xxh64_intdigest(member.host.encode()))
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/relays.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/relays.py
@@ -1,10 +1,10 @@
-"""Who reports to whom.
+"""The topology of reporting: which gateway reports to which.
 
-A small fleet reports in a full mesh. In a larger one each failure domain has a
-few relays: a gateway reports to one of them, relays report sums of their groups
-to each other, and each tells its group about all the rest. Nobody is elected:
-every gateway ranks the members that it knows in the same order, passes over
-those that do not answer, and a gateway that gets reports acts as a relay.
+A small fleet reports in a full mesh. In a larger one each failure domain has a few
+relays: a gateway reports to one of them, relays report totals of their groups to each
+other, and each relay reports the totals of the rest of the fleet to its group. There is
+no election: every gateway ranks the members that it knows in the same order and skips
+those that do not reply, and a gateway that receives reports acts as a relay.
 """
 
 import math
@@ -20,11 +20,11 @@
 
 
 class Plan(NamedTuple):
-    """A gateway's part in the exchange.
+    """A gateway's role in the exchange of reports.
 
-    ``relay`` is the `Member` to report to, None for a relay; ``other_relays`` are
-    the other relays and ``group`` those that report to this one; ``hello_targets``
-    are members to ask for a sign of life.
+    ``relay`` is the `Member` to report to, None for a relay. ``other_relays`` are the
+    other relays, ``group`` the members that report to this one, and ``hello_targets``
+    the silent members that are sent ``HELLO``.
     """
 
     is_relay: bool
@@ -35,7 +35,7 @@
 
 
 def count_relays(domain_size, is_mesh):
-    """Return how many relays a failure domain has."""
+    """Return the number of relays of a failure domain."""
     if is_mesh:
         return domain_size
     wanted = math.ceil(domain_size / _GATEWAYS_PER_RELAY)
@@ -43,7 +43,7 @@
 
 
 def make_plan(members, now):
-    """Return the `Plan` of the gateway that ``members`` belongs to."""
+    """Return the `Plan` of the gateway ``members.own``."""
     own = members.own
     live = members.get_live(now)
     group = tuple(
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
@@ -1,4 +1,4 @@
-"""What this gateway says of itself in its reports, and what theirs say of its view."""
+"""Builds this gateway's reports and derives its view's age from those of peers."""
 
 from ..digests import get_digest
 from ..quarantine.crash_attribution import Notice
@@ -9,8 +9,8 @@
 from .sums import Totals
 
 _MAX_MEMBERS_PER_REPORT = 10
-# Their records say so too once the store is back; more than these leave at once only
-# where a whole service does.
+# More than this many instances leave at once only if a whole service does; for the
+# rest, the records in the store show it once the store is reachable again.
 _MAX_LEAVING = 32
 
 
@@ -24,7 +24,7 @@
 
 
 def _make_crash_row(notice, now):
-    """Return a crash with ages in milliseconds, as clocks of hosts differ."""
+    """Return the row of a crash, with ages instead of times as hosts' clocks differ."""
     crash = notice.crash
     sent = round((now - crash.sent) * 1000.0)
     ended = round((now - crash.ended) * 1000.0)
@@ -44,14 +44,14 @@
 
 
 class Reporter:
-    """Makes reports, each with a stamp that peers send back.
+    """Builds reports, each with a stamp that peers send back.
 
     Parameters
     ----------
     number : int
-        This incarnation of the gateway.
+        Incarnation number of the gateway.
     rng : random.Random
-        Picks the members to tell of.
+        Selects the members that a report lists.
     """
 
     def __init__(self, state, number, rng):
@@ -71,11 +71,12 @@
         host=None,
         notices=(),
     ):
-        """Return a `Report`, with an echo where it goes to one ``host`` only."""
+        """Return a `Report`, with an echo if it is addressed to a single ``host``."""
         state = self._state
         self._seq += 1
         peer = state.members.peers.get(host)
-        # Before the ends: what comes meanwhile makes them newer than this says.
+        # The age is read before the offsets: a record that arrives in between may only
+        # make the offsets newer than the age claims, never older.
         age = state.freshness.get_age(now)
         return Report(
             VERSION,
@@ -105,7 +106,7 @@
         )
 
     def observe_peer_view(self, report):
-        """Take in how old the view of a peer is that knows no more than we do."""
+        """Record the age of a peer's view if it contains no more than this one's."""
         state = self._state
         sent_after = self._stamps.get_time(report.echo)
         if sent_after is None or report.store_age < 0.0:
@@ -116,10 +117,11 @@
             state.freshness.note_peer(sent_after - report.store_age)
 
     def _get_leaving(self):
-        """Return the digests of instances whose records do not say that they leave.
+        """Return the digests of leaving instances whose records do not show it yet.
 
-        Every gateway passes on what it knows, so that relays and gateways that start
-        learn it. It is never retracted: a life that leaves does not return.
+        Every gateway reports all that it has learned, so that relays and gateways that
+        start receive it too. An entry is never retracted: an incarnation of an instance
+        that is leaving does not return.
         """
         names = self._state.directory.get_leaving()
         return [get_digest(name) for name in sorted(names)[:_MAX_LEAVING]]
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/reports.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/reports.py
@@ -1,9 +1,9 @@
-"""What gateways tell each other: small datagrams of soft state.
+"""The reports between gateways: small datagrams of soft state.
 
-Every report holds absolute figures, so one that is lost, doubled or late does
-no harm: the next one corrects it. Figures fit one datagram; hints (reads, crashes) go
-in one of their own where there is no room, and where figures do not fit, the smallest
-are left out.
+Every report holds absolute figures, so the next one corrects a report that is lost,
+duplicated or late. The figures fit one datagram; hints (reads, crashes) are sent in a
+separate one if there is no room, and if the figures do not fit, the smallest are left
+out.
 """
 
 from enum import StrEnum
@@ -15,18 +15,18 @@
 VERSION = 2
 MAX_BYTES = 1_400
 _KEPT_RATIO = 0.75
-# Engines left out look idle and accounts left out look starved, which does more harm;
-# so the engines with least to do go first, down to this many.
+# An instance that is left out looks idle; an account that is left out looks starved,
+# which is worse. The least loaded instances are therefore left out first, down to this
+# number.
 _MIN_LOADS = 40
 
 
 class Role(StrEnum):
-    """Who tells whom.
+    """The direction of a report.
 
-    ``UP``: a gateway to its relay, about itself. ``ACROSS``: a relay to
-    another, about its group. ``DOWN``: a relay to one of its group, about all
-    the others. ``HELLO`` asks for a sign of life and ``ALIVE`` gives it; both
-    hold no figures.
+    ``UP``: a gateway to its relay, about itself. ``ACROSS``: a relay to another relay,
+    about its group. ``DOWN``: a relay to a gateway of its group, about all the others.
+    ``HELLO`` requests an ``ALIVE`` report; both hold no figures.
     """
 
     UP = "u"
@@ -37,27 +37,27 @@
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True):
-    """State of one gateway, or sums over a group of them.
-
-    ``number`` is the incarnation, greater for a later start; ``seq`` rises
-    with every report. ``catalog_version`` and ``directory_offset`` tell how new
-    the sender's view is, and ``store_age`` how many seconds before it sent this
-    the view was whole, negative for never; see `freshness`. ``gateways`` is how
-    many the sums stand for. ``loads`` maps an instance's digest to the prompt
-    tokens sent there and not read, and the requests running. ``usage`` maps an
-    account's digest to the tokens asked and begun within the window. ``reads``
-    lists (instance digest, part digest) of prompt parts that an instance reads for
-    the first time.
-    ``silent`` names failure domains that the sender's relays hear nothing of.
-    ``members`` are rows of host, failure domain, address and capacity. One with
-    ``only_hints`` holds no figures and replaces none. ``catalog_offset`` is how far
-    the sender has read the configuration topic, which holds evacuations too.
-    ``stamp`` is the sender's clock in milliseconds; ``echo`` sends the receiver's own
-    newest stamp back to it. ``quarantine_offset`` is how far the sender has read the
-    quarantine topic. ``crashes`` lists (request's fingerprint, instance digest,
-    milliseconds since it was sent there, since the instance ended), and ``cleared``
-    the fingerprints of suspect requests that were answered whole. ``leaving`` holds
-    digests of instances that said that they leave while their records say ready.
+    """The state of one gateway, or totals over a group of gateways.
+
+    ``number`` is the incarnation number, greater for a later start; ``seq`` increases
+    with every report. ``catalog_version`` and ``directory_offset`` show how new the
+    sender's view is, and ``store_age`` how many seconds before the report was sent the
+    view was complete, negative for never; see `freshness`. ``gateways`` is the number
+    of gateways in the totals. ``loads`` maps an instance's digest to the prompt tokens
+    sent to it but not yet read, and its running requests. ``usage`` maps an account's
+    digest to the tokens requested and started within the window. ``reads`` lists
+    (instance digest, part digest) of prompt parts that an instance reads for the first
+    time. ``silent`` names the failure domains from which the sender's relays receive no
+    reports. ``members`` are rows of host, failure domain, address and capacity. A
+    report with ``only_hints`` holds no figures and replaces none. ``catalog_offset`` is
+    the sender's offset in the configuration topic, which also holds evacuations.
+    ``stamp`` is the sender's clock in milliseconds; ``echo`` returns the receiver's own
+    newest stamp. ``quarantine_offset`` is the sender's offset in the quarantine topic.
+    ``crashes`` lists (request's fingerprint, instance digest, milliseconds since the
+    request was sent to the instance, milliseconds since the instance exited), and
+    ``cleared`` the fingerprints of suspect requests that received a complete response.
+    ``leaving`` holds digests of instances that have announced that they are leaving
+    while their records are still marked ready.
     """
 
     version: int
@@ -88,7 +88,7 @@
 
     @property
     def view_offsets(self):
-        """Return how far the sender has read configuration, instances, quarantines."""
+        """Return the sender's offsets: configuration, instances and quarantine."""
         return (self.catalog_offset, self.directory_offset, self.quarantine_offset)
 
 
@@ -97,7 +97,7 @@
 
 
 def encode_report(report):
-    """Return the datagrams of a report: one, or hints and then figures."""
+    """Return the datagrams of a report: one, or the hints followed by the figures."""
     replace = msgspec.structs.replace
     data = _encoder.encode(report)
     if len(data) > MAX_BYTES and report.members:
@@ -113,7 +113,7 @@
 
 
 def _encode_figures(report):
-    """Return the bytes of a report, without the smallest figures if need be."""
+    """Return the bytes of a report, leaving out the smallest figures if necessary."""
     data = _encoder.encode(report)
     while len(data) > MAX_BYTES:
         if len(report.loads) > _MIN_LOADS:
@@ -127,7 +127,7 @@
 
 
 def decode_report(data):
-    """Return the `Report` in a datagram, or None where it is none of ours."""
+    """Return the `Report` in a datagram, or None if it is malformed or incompatible."""
     try:
         report = _decoder.decode(data)
     except msgspec.MsgspecError:
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/sums.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/sums.py
@@ -1,10 +1,10 @@
-"""Adding up what gateways report; rows are pairs of figures by digest."""
+"""Totals of gateways' reports; a table maps a digest to a pair of figures."""
 
 
 def add_rows(total, rows):
-    """Add pairs to a table in place."""
+    """Add the pairs of ``rows`` to a table in place."""
     if not total:
-        # Most gateways hear from one relay only.
+        # Fast path: most gateways receive reports from a single relay.
         total.update(rows)
         return
     for key, (first, second) in rows.items():
@@ -13,7 +13,7 @@
 
 
 def subtract_rows(total, rows):
-    """Return the table without the share of some rows, never below zero."""
+    """Return a copy of the table less ``rows``; figures do not go below zero."""
     left = dict(total)
     for key, (first, second) in rows.items():
         old_first, old_second = left.get(key, (0, 0))
@@ -26,7 +26,7 @@
 
 
 class Totals:
-    """Loads, usage and the number of gateways that they stand for."""
+    """Totals of loads and usage, and the number of gateways included."""
 
     __slots__ = ("gateways", "loads", "usage")
 
@@ -46,14 +46,14 @@
         self.add(report.loads, report.usage, report.gateways)
 
     def joined(self, part):
-        """Return new totals with what other totals hold besides."""
+        """Return the sum of these and other totals."""
         other = Totals()
         for totals in (self, part):
             other.add(totals.loads, totals.usage, totals.gateways)
         return other
 
     def without(self, part):
-        """Return the totals less what a report, or other totals, contributed."""
+        """Return the totals less the figures of a report or of other totals."""
         other = Totals()
         other.loads = subtract_rows(self.loads, part.loads)
         other.usage = subtract_rows(self.usage, part.usage)
