--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
@@ -10,7 +10,7 @@
 import time
 
 from ..quarantine import crash_attribution
-from ..upstreams.upstream_signals import note_leaving
+from ..upstreams.upstream_signals import mark_upstream_leaving
 from ..view_source import is_newer
 from .links import Links
 from .members import Member
@@ -175,7 +175,7 @@
         for digest in report.leaving:
             instance_id = state.directory.get_id(digest)
             if instance_id is not None:
-                note_leaving(state, instance_id, "peer", peer=report.host)
+                mark_upstream_leaving(state, instance_id, "peer", peer=report.host)
 
     def count_links(self):
         """Return the number of gateways that this one reports to."""
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
@@ -16,20 +16,20 @@
 from ..transport.sockets import is_readable, prepare_socket
 from ..transport.waiting import Wake, wait_for_socket
 
-CONNECT_TIMEOUT = 0.4
-_KEPT_PER_INSTANCE = 8
+CONNECT_TIMEOUT_S = 0.4
+_MAX_IDLE_PER_INSTANCE = 8
 MAX_IDLE = 4.0
 
 
-class Idle:
+class IdleConnection:
     """A kept connection; ``until`` is when to use it no more (steady clock)."""
 
-    __slots__ = ("since", "sock", "until")
+    __slots__ = ("expires_at", "idle_since", "sock")
 
-    def __init__(self, sock, since, until):
+    def __init__(self, sock, idle_since, expires_at):
         self.sock = sock
-        self.since = since
-        self.until = until
+        self.idle_since = idle_since
+        self.expires_at = expires_at
 
 
 class Connections:
@@ -40,28 +40,28 @@
         self._idle = {}
         self._lock = threading.Lock()
 
-    def take(self, instance_id, longest_idle=MAX_IDLE):
+    def take(self, instance_id, max_idle_s=MAX_IDLE):
         """Return a kept socket that looks alive, or None."""
         now = self._clock()
         while True:
             with self._lock:
                 rows = self._idle.get(instance_id)
                 # The last used is the last in the list; all others are older.
-                if not rows or now - rows[-1].since >= longest_idle:
+                if not rows or now - rows[-1].idle_since >= max_idle_s:
                     return None
                 idle = rows.pop()
-            if now < idle.until and not is_readable(idle.sock):
+            if now < idle.expires_at and not is_readable(idle.sock):
                 return idle.sock
             idle.sock.close()
 
     def keep(self, instance_id, sock, lifetime=None):
         """Keep a socket for ``lifetime`` seconds at most."""
         now = self._clock()
-        until = now + min(MAX_IDLE, lifetime or MAX_IDLE)
+        expires_at = now + min(MAX_IDLE, lifetime or MAX_IDLE)
         with self._lock:
             rows = self._idle.setdefault(instance_id, [])
-            if len(rows) < _KEPT_PER_INSTANCE:
-                rows.append(Idle(sock, now, until))
+            if len(rows) < _MAX_IDLE_PER_INSTANCE:
+                rows.append(IdleConnection(sock, now, expires_at))
                 return
         sock.close()
 
@@ -78,15 +78,15 @@
         stale = []
         with self._lock:
             for instance_id, rows in list(self._idle.items()):
-                stale += [idle for idle in rows if now >= idle.until]
-                rows[:] = [idle for idle in rows if now < idle.until]
+                stale += [idle for idle in rows if now >= idle.expires_at]
+                rows[:] = [idle for idle in rows if now < idle.expires_at]
                 if not rows:
                     del self._idle[instance_id]
         for idle in stale:
             idle.sock.close()
 
 
-async def connect(address, client, timeout=CONNECT_TIMEOUT):
+async def connect(address, client, timeout=CONNECT_TIMEOUT_S):
     """Return a new connected socket; raises OSError where there is none.
 
     Parameters
@@ -111,8 +111,8 @@
 
 
 async def _finish_connecting(sock, client, timeout):
-    until = asyncio.get_running_loop().time() + timeout
-    wake = await wait_for_socket(sock, until, client, reading=False, writing=True)
+    deadline = asyncio.get_running_loop().time() + timeout
+    wake = await wait_for_socket(sock, deadline, client, reading=False, writing=True)
     if wake is Wake.DUE:
         return errno.ETIMEDOUT
     if wake is Wake.GONE:
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
@@ -7,7 +7,7 @@
 
 # The rest of the time that an event may be held is for the network and for a
 # processor that is busy.
-_RESTING_RATIO = 0.3
+_COALESCE_RATIO = 0.3
 
 
 async def forward_stream(state, ctx, exchange, head, work):
@@ -19,42 +19,42 @@
     most of the processor time goes into wake-ups and calls, not into bytes.
     """
     splitter = EventSplitter()
-    rest = state.cfg.streams.max_delay_ms / 1000.0 * _RESTING_RATIO
+    coalesce_s = state.cfg.streams.max_delay_ms / 1000.0 * _COALESCE_RATIO
     while True:
         item = await exchange.read()
         if isinstance(item, Failure):
             return item
         if isinstance(item, End):
-            return await _end(ctx, head, splitter)
+            return await _finish_stream(ctx, head, splitter)
         assert isinstance(item, Data)
         state.loads.note_progress(work, state.clock())
         blocks = splitter.feed(item.data)
-        while (more := exchange.read_ready()) is not None:
-            blocks += splitter.feed(more.data)
-        failure = await _pass_on(ctx, head, blocks)
+        while (next_data := exchange.read_ready()) is not None:
+            blocks += splitter.feed(next_data.data)
+        failure = await _forward_blocks(ctx, head, blocks)
         if failure is not None:
             return failure
         if blocks and not exchange.is_over:
-            await state.pause(rest)
+            await state.pause(coalesce_s)
 
 
-async def _pass_on(ctx, head, blocks):
-    later = [block for block in blocks if is_later(block.id, ctx.last_event_id)]
-    if not later:
+async def _forward_blocks(ctx, head, blocks):
+    new_blocks = [block for block in blocks if is_later(block.id, ctx.last_event_id)]
+    if not new_blocks:
         return None
     try:
-        _start(ctx, head)
-        await ctx.reply.write(b"".join(block.data for block in later))
+        _start_stream(ctx, head)
+        await ctx.reply.write(b"".join(block.data for block in new_blocks))
     except ClientGone:
         return Failure(Fault.GONE, "the client left")
-    for block in later:
+    for block in new_blocks:
         ctx.last_event_id = block.id or ctx.last_event_id
     return None
 
 
-async def _end(ctx, head, splitter):
+async def _finish_stream(ctx, head, splitter):
     try:
-        _start(ctx, head)
+        _start_stream(ctx, head)
         if splitter.has_rest:
             await ctx.reply.write(splitter.take_rest())
     except ClientGone:
@@ -63,7 +63,7 @@
     return None
 
 
-def _start(ctx, head):
+def _start_stream(ctx, head):
     if not ctx.reply.started:
         ctx.answered = head.status
         ctx.reply.start_stream(head.status, list(head.headers.items()))
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
@@ -11,13 +11,13 @@
 from .connections import connect
 
 # Seconds that a new connection may take; one that is lost on the way proves nothing.
-_PROBE_TIMEOUT = 0.2
+_PROBE_TIMEOUT_S = 0.2
 # Seconds for which an end is believed without another look: shorter than an upstream
 # takes to come back.
-_BELIEVED_FOR = 1.0
+_EXIT_VALID_S = 1.0
 
 
-class _Nobody:
+class _ProbeClient:
     """Whom a probe is for: a client that never leaves."""
 
     is_gone = False
@@ -41,40 +41,44 @@
         self._clock = clock
         self._keep = keep
         self._connect = connect
-        self._ended = {}
-        self._asking = {}
+        self._exited_at = {}
+        self._probes = {}
 
     async def has_ended(self, instance, sent):
         """Return whether the instance has ended after a request was ``sent`` there.
 
         One that ended before cannot have run the request.
         """
-        known = self._ended.get(instance.id)
-        if known is not None and self._clock() - known < _BELIEVED_FOR:
-            return sent < known
-        asking = self._asking.get(instance.id)
-        if asking is None:
-            asking = self._asking[instance.id] = asyncio.ensure_future(
-                self._ask(instance)
+        exited_at = self._exited_at.get(instance.id)
+        if exited_at is not None and self._clock() - exited_at < _EXIT_VALID_S:
+            return sent < exited_at
+        probe = self._probes.get(instance.id)
+        if probe is None:
+            probe = self._probes[instance.id] = asyncio.ensure_future(
+                self._probe(instance)
             )
-        return await asyncio.shield(asking)
+        return await asyncio.shield(probe)
 
-    async def _ask(self, instance):
+    async def _probe(self, instance):
         try:
-            sock = await self._connect(instance.address, _Nobody(), _PROBE_TIMEOUT)
+            sock = await self._connect(
+                instance.address, _ProbeClient(), _PROBE_TIMEOUT_S
+            )
         except OSError as exc:
-            ended = exc.errno == errno.ECONNREFUSED
-            if ended:
-                self._note_ended(instance.id)
-            return ended
+            is_refused = exc.errno == errno.ECONNREFUSED
+            if is_refused:
+                self._record_exit(instance.id)
+            return is_refused
         finally:
-            del self._asking[instance.id]
+            del self._probes[instance.id]
         self._keep(instance.id, sock)
         return False
 
-    def _note_ended(self, instance_id):
+    def _record_exit(self, instance_id):
         now = self._clock()
-        old = [key for key, at in self._ended.items() if now - at >= _BELIEVED_FOR]
-        for key in old:
-            del self._ended[key]
-        self._ended[instance_id] = now
+        expired = [
+            key for key, at in self._exited_at.items() if now - at >= _EXIT_VALID_S
+        ]
+        for key in expired:
+            del self._exited_at[key]
+        self._exited_at[instance_id] = now
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
@@ -9,13 +9,13 @@
 
 from .exchanges import MISDIRECTED
 
-LEAVING = "1"
+LEAVING_VALUE = "1"
 # From where it may be known that an upstream leaves, besides its record.
 SOURCES = ("answer", "peer")
 _RETRY_AFTER = "retry-after"
-_SHEDDING = frozenset((429, 503))
+_OVERLOAD_STATUSES = frozenset((429, 503))
 # Characters of a header's value on a line of the log.
-_MAX_VALUE = 40
+_MAX_LOGGED_VALUE_LENGTH = 40
 
 
 class Signals(NamedTuple):
@@ -33,13 +33,13 @@
     """Return the `Signals` in the `answers.Head` of a final answer."""
     if head.status == MISDIRECTED:
         return Signals()
-    is_leaving = head.headers.get(names.leaving.lower()) == LEAVING
+    is_leaving = head.headers.get(names.leaving.lower()) == LEAVING_VALUE
     text = head.headers.get(_RETRY_AFTER)
-    if text is None or head.status not in _SHEDDING:
+    if text is None or head.status not in _OVERLOAD_STATUSES:
         return Signals(is_leaving)
     seconds = parse_retry_after(text)
     if seconds is None:
-        return Signals(is_leaving, None, text[:_MAX_VALUE])
+        return Signals(is_leaving, None, text[:_MAX_LOGGED_VALUE_LENGTH])
     return Signals(is_leaving, seconds or None)
 
 
@@ -60,7 +60,9 @@
     state.loads.note_head(instance.id, state.clock())
     signals = read_signals(state.names, head)
     if signals.is_leaving:
-        note_leaving(state, instance.id, "answer", id=ctx.id, status=head.status)
+        mark_upstream_leaving(
+            state, instance.id, "answer", id=ctx.id, status=head.status
+        )
     if signals.fault is not None:
         state.log.note(
             "retry-after ignored",
@@ -74,7 +76,7 @@
         add_backoff(state, instance.id, signals.backoff, id=ctx.id, status=head.status)
 
 
-def note_leaving(state, instance_id, source, **inputs):
+def mark_upstream_leaving(state, instance_id, source, **inputs):
     """Note that an upstream leaves, which its record may not say yet."""
     now = state.clock()
     noted = state.directory.get_noted(instance_id)
