--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/__init__.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams, one exchange over them, and what their answers say.
+"""Connections to upstreams, exchanges over them, and the signals in their responses.
 
 Imports ``transport``.
 """
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
@@ -1,7 +1,7 @@
-"""Kept connections to upstream instances.
+"""Persistent connections to upstream instances.
 
-A connection is kept only after an exchange that ended exactly as it should,
-and is dropped once it turned readable while idle: the upstream has closed it
+A connection is kept only after an exchange that ended in full accordance with the
+protocol, and is dropped if it became readable while idle: the upstream has closed it
 or sent bytes that belong to no request.
 """
 
@@ -22,7 +22,7 @@
 
 
 class IdleConnection:
-    """A kept connection; ``until`` is when to use it no more (steady clock)."""
+    """An idle connection, not used after ``expires_at`` on the monotonic clock."""
 
     __slots__ = ("expires_at", "idle_since", "sock")
 
@@ -33,7 +33,7 @@
 
 
 class Connections:
-    """Idle connections by instance id, the last used first."""
+    """A pool of idle connections by instance id; the last used is taken first."""
 
     def __init__(self, clock=get_lease_time):
         self._clock = clock
@@ -41,12 +41,12 @@
         self._lock = threading.Lock()
 
     def take(self, instance_id, max_idle_s=MAX_IDLE):
-        """Return a kept socket that looks alive, or None."""
+        """Return an idle socket that is not readable or expired, or None."""
         now = self._clock()
         while True:
             with self._lock:
                 rows = self._idle.get(instance_id)
-                # The last used is the last in the list; all others are older.
+                # The last in the list was used last, so all others are older.
                 if not rows or now - rows[-1].idle_since >= max_idle_s:
                     return None
                 idle = rows.pop()
@@ -55,7 +55,7 @@
             idle.sock.close()
 
     def keep(self, instance_id, sock, lifetime=None):
-        """Keep a socket for ``lifetime`` seconds at most."""
+        """Keep a socket for at most ``lifetime`` seconds, or close it if there are many."""
         now = self._clock()
         expires_at = now + min(MAX_IDLE, lifetime or MAX_IDLE)
         with self._lock:
@@ -66,14 +66,14 @@
         sock.close()
 
     def drop(self, instance_id):
-        """Close what is kept for an instance that is gone."""
+        """Close the idle connections to an instance that has left."""
         with self._lock:
             rows = self._idle.pop(instance_id, [])
         for idle in rows:
             idle.sock.close()
 
     def drop_stale(self):
-        """Close what has been idle for too long."""
+        """Close the connections that have expired."""
         now = self._clock()
         stale = []
         with self._lock:
@@ -87,12 +87,12 @@
 
 
 async def connect(address, client, timeout=CONNECT_TIMEOUT_S):
-    """Return a new connected socket; raises OSError where there is none.
+    """Return a new connected socket; raises OSError if connecting fails.
 
     Parameters
     ----------
     client : object
-        Whose request it is for; where it leaves there is no connection.
+        The client of the request; connecting is given up when it disconnects.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
@@ -1,22 +1,22 @@
-"""Passing a stream of events on, whole event by whole event."""
+"""Forwarding of event streams in units of whole events."""
 
 from ..transport.answers import Data, End
 from ..transport.events import EventSplitter, is_later
 from ..transport.replies import ClientGone
 from .exchanges import Failure, Fault
 
-# The rest of the time that an event may be held is for the network and for a
-# processor that is busy.
+# Part of the permitted delay of an event that is spent on coalescing writes; the rest
+# is left for the network and for a busy processor.
 _COALESCE_RATIO = 0.3
 
 
 async def forward_stream(state, ctx, exchange, head, work):
-    """Pass events on as they come; return None when whole, or a `Failure`.
+    """Forward events as they arrive; return None at the end, or a `Failure`.
 
-    Only whole events go out, so that a stream which breaks can be taken up
-    again at another upstream inside the same answer. After each write the
-    stream rests, so that what follows closely is read and written at once:
-    most of the processor time goes into wake-ups and calls, not into bytes.
+    Only whole events are sent, so that a stream that breaks off can be resumed at
+    another upstream within the same response. A pause follows each write, so that
+    events which follow closely are read and written together: most of the CPU time is
+    spent on wake-ups and calls rather than on bytes.
     """
     splitter = EventSplitter()
     coalesce_s = state.cfg.streams.max_delay_ms / 1000.0 * _COALESCE_RATIO
@@ -46,7 +46,7 @@
         _start_stream(ctx, head)
         await ctx.reply.write(b"".join(block.data for block in new_blocks))
     except ClientGone:
-        return Failure(Fault.GONE, "the client left")
+        return Failure(Fault.GONE, "client disconnected")
     for block in new_blocks:
         ctx.last_event_id = block.id or ctx.last_event_id
     return None
@@ -58,7 +58,7 @@
         if splitter.has_rest:
             await ctx.reply.write(splitter.take_rest())
     except ClientGone:
-        return Failure(Fault.GONE, "the client left")
+        return Failure(Fault.GONE, "client disconnected")
     ctx.reply.end()
     return None
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
@@ -1,8 +1,8 @@
-"""Whether an upstream that broke a request off has ended.
+"""Detects whether an upstream that broke off a request has exited.
 
-A connection that breaks off says little: upstreams cut answers, reset connections and
-lose them. Where a new connection is refused at the same moment, nobody listens there
-any more, and the process has ended.
+A connection that breaks off is not sufficient evidence: running upstreams also truncate
+responses, and reset or lose connections. If a new connection is refused at the same
+time, no process listens at the address any more, so the upstream has exited.
 """
 
 import asyncio
@@ -10,31 +10,31 @@
 
 from .connections import connect
 
-# Seconds that a new connection may take; one that is lost on the way proves nothing.
+# A probe that times out, as when its packets are lost, proves nothing.
 _PROBE_TIMEOUT_S = 0.2
-# Seconds for which an end is believed without another look: shorter than an upstream
-# takes to come back.
+# For this long an exit is assumed to last without another probe; it is shorter than the
+# restart of an upstream takes.
 _EXIT_VALID_S = 1.0
 
 
 class _ProbeClient:
-    """Whom a probe is for: a client that never leaves."""
+    """The client of a probe, which never disconnects."""
 
     is_gone = False
 
     def watch(self, waiter):
-        """Have nobody to watch."""
+        """Ignore the waiter, as this client never disconnects."""
 
 
 class Endings:
-    """Ends of upstreams found out by this gateway; used on the event loop only.
+    """Exits of upstreams detected by this gateway; used on the event loop only.
 
     Parameters
     ----------
     keep : callable
-        Called with an instance's id and a new connection to it: it still listens.
+        Called with the id of an instance that still listens and a new connection to it.
     connect : callable
-        As `connections.connect`.
+        Has the signature of `connections.connect`.
     """
 
     def __init__(self, clock, keep, connect=connect):
@@ -45,9 +45,9 @@
         self._probes = {}
 
     async def has_ended(self, instance, sent):
-        """Return whether the instance has ended after a request was ``sent`` there.
+        """Return whether the instance has exited after the time a request was ``sent``.
 
-        One that ended before cannot have run the request.
+        An instance that exited before that time cannot have run the request.
         """
         exited_at = self._exited_at.get(instance.id)
         if exited_at is not None and self._clock() - exited_at < _EXIT_VALID_S:
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
@@ -1,8 +1,8 @@
-"""What upstreams say of themselves in the heads of their answers.
+"""Signals of upstreams about their own state in the heads of their responses.
 
-The heads of all final answers count, whatever becomes of the answer: rejections,
-failures, streams whose end is still to come, answers to another request. Only
-`MISDIRECTED` ones do not, since they come from another upstream at the address.
+The heads of all final responses are evaluated, whatever becomes of the response:
+rejections, failures, streams that have not ended yet, responses to another request.
+Only `MISDIRECTED` ones are not, as a different upstream at the address sends them.
 """
 
 from typing import NamedTuple
@@ -10,18 +10,19 @@
 from .exchanges import MISDIRECTED
 
 LEAVING_VALUE = "1"
-# From where it may be known that an upstream leaves, besides its record.
+# Sources, besides its record, from which a gateway learns that an upstream is leaving.
 SOURCES = ("answer", "peer")
 _RETRY_AFTER = "retry-after"
 _OVERLOAD_STATUSES = frozenset((429, 503))
-# Characters of a header's value on a line of the log.
+# Header values are truncated to this many characters in the log.
 _MAX_LOGGED_VALUE_LENGTH = 40
 
 
 class Signals(NamedTuple):
-    """What a head says: ``backoff`` is in seconds, None where no pause is asked for.
+    """The signals in a head.
 
-    ``fault`` is the value of a ``Retry-After`` that cannot be followed, else None.
+    ``backoff`` is in seconds, None if no backoff is requested. ``fault`` is the value
+    of a ``Retry-After`` that is invalid or unsupported, else None.
     """
 
     is_leaving: bool = False
@@ -30,7 +31,7 @@
 
 
 def read_signals(names, head):
-    """Return the `Signals` in the `answers.Head` of a final answer."""
+    """Return the `Signals` in the `answers.Head` of a final response."""
     if head.status == MISDIRECTED:
         return Signals()
     is_leaving = head.headers.get(names.leaving.lower()) == LEAVING_VALUE
@@ -44,9 +45,9 @@
 
 
 def parse_retry_after(text):
-    """Return the seconds in a ``Retry-After``, fractions included, or None.
+    """Return the seconds in a ``Retry-After``, which may be fractional, or None.
 
-    Dates are not followed, as the wall clocks of hosts differ, and may jump.
+    Dates are not supported, as the wall clocks of hosts differ and may jump.
     """
     whole, _, fraction = text.partition(".")
     digits = whole + fraction
@@ -56,7 +57,7 @@
 
 
 def observe_head(state, ctx, instance, head):
-    """Take in what the head of an answer says of its upstream."""
+    """Apply the signals in the head of an upstream's response."""
     state.loads.note_head(instance.id, state.clock())
     signals = read_signals(state.names, head)
     if signals.is_leaving:
@@ -77,7 +78,7 @@
 
 
 def mark_upstream_leaving(state, instance_id, source, **inputs):
-    """Note that an upstream leaves, which its record may not say yet."""
+    """Mark an upstream as leaving, even if its record does not show it yet."""
     now = state.clock()
     noted = state.directory.get_noted(instance_id)
     if not state.directory.mark_leaving(instance_id, source):
@@ -94,7 +95,7 @@
 
 
 def add_backoff(state, instance_id, seconds, **inputs):
-    """Note that an upstream wants nothing from this gateway for some seconds."""
+    """Start or extend the backoff that an upstream requests of this gateway."""
     now = state.clock()
     is_new = state.backoffs.add(instance_id, seconds, now)
     state.metrics.backoffs.inc()
@@ -106,6 +107,6 @@
 
 
 def end_backoffs(state):
-    """Log the pauses that are over."""
+    """Log the backoffs that have ended since the last call."""
     for instance_id in state.backoffs.take_ended(state.clock()):
         state.log.note("upstream backoff over", upstream=instance_id)
