--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
@@ -41,7 +41,7 @@
         self._lock = threading.Lock()
 
     def take(self, instance_id, max_idle_s=MAX_IDLE):
-        """Return an idle socket that is not readable or expired, or None."""
+        """Return an idle socket that is neither readable nor expired, or None."""
         now = self._clock()
         while True:
             with self._lock:
@@ -55,7 +55,7 @@
             idle.sock.close()
 
     def keep(self, instance_id, sock, lifetime=None):
-        """Keep a socket for at most ``lifetime`` seconds, or close it if there are many."""
+        """Keep a socket for at most ``lifetime`` seconds, or close it at the limit."""
         now = self._clock()
         expires_at = now + min(MAX_IDLE, lifetime or MAX_IDLE)
         with self._lock:
