--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
@@ -130,10 +130,10 @@
         for row in report.members:
             state.members.add(Member(*row))
         if report.role == Role.HELLO or self._is_misdirected(report, now):
-            answer = self._reporter.make(
+            reply = self._reporter.make(
                 Role.ALIVE, now, with_members=True, host=report.host
             )
-            self._send_to(address, answer)
+            self._send_to(address, reply)
         self._apply_hints(report, now)
         self._reporter.observe_peer_view(report)
         if is_new:
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/freshness.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/freshness.py
@@ -73,8 +73,12 @@
     def _get_as_of(self):
         if len(self._store_as_of) < _TOPIC_COUNT:
             return self._peer_as_of
-        answered = min(self._store_as_of.values())
-        return answered if self._peer_as_of is None else max(answered, self._peer_as_of)
+        store_as_of = min(self._store_as_of.values())
+        return (
+            store_as_of
+            if self._peer_as_of is None
+            else max(store_as_of, self._peer_as_of)
+        )
 
     def _update_announcement(self):
         as_of = self._get_as_of()
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
@@ -201,11 +201,13 @@
     def drop_silent(self, now):
         """Remove and return the peers that have been silent for too long."""
         with self._lock:
-            gone = [p for p in self.peers.values() if now - p.heard > _FORGET_AFTER_S]
-            for peer in gone:
+            dropped = [
+                p for p in self.peers.values() if now - p.heard > _FORGET_AFTER_S
+            ]
+            for peer in dropped:
                 del self.peers[peer.host]
                 self._tried.setdefault(peer.host, now - _REPLY_TIMEOUT_S)
-        return gone
+        return dropped
 
     def _is_member_address(self, address):
         return any(member.address == address for member in self._known.values())
