--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
@@ -2,7 +2,8 @@
 
 The heads of all final responses are evaluated, whatever becomes of the response:
 rejections, failures, streams that have not ended yet, responses to another request.
-Only `MISDIRECTED` ones are not, as a different upstream at the address sends them.
+Responses with the status `MISDIRECTED` are skipped, as they are sent by a
+different upstream at the address.
 """
 
 from typing import NamedTuple
