--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/links.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/links.py
@@ -1,52 +1,53 @@
-"""To whom a gateway reports, and what each was told last."""
+"""The gateways that this one reports to, and the last state reported to each."""
 
 import collections
 import threading
 
 from .reports import Role
 
-_MAX_PENDING_READS = 400
-_READS_A_REPORT = 24
-_MAX_PENDING_NOTICES = 100
-_NOTICES_A_REPORT = 12
-# Datagrams get lost, and a notice that comes twice changes nothing.
-_TIMES_TOLD = 2
-# Hints that a relay hears of go on to those that cannot have heard them.
-_FORWARDED = {Role.UP: (Role.ACROSS, Role.DOWN), Role.ACROSS: (Role.DOWN,)}
+_MAX_QUEUED_READS = 400
+_MAX_READS_PER_REPORT = 24
+_MAX_QUEUED_NOTICES = 100
+_MAX_NOTICES_PER_REPORT = 12
+# Datagrams may be lost; a duplicate notice has no effect.
+_NOTICE_SEND_COUNT = 2
+# A relay forwards received hints on the links whose gateways cannot have received them
+# yet.
+_FORWARD_ROLES = {Role.UP: (Role.ACROSS, Role.DOWN), Role.ACROSS: (Role.DOWN,)}
 
 
 class Link:
-    """What one other gateway was told last, and the hints it is not told yet."""
+    """One gateway to report to: the state reported last and the hints still queued."""
 
-    __slots__ = ("member", "notices", "reads", "role", "told", "told_at")
+    __slots__ = ("member", "notices", "reads", "reported", "reported_at", "role")
 
     def __init__(self, member, role):
         self.member = member
         self.role = role
-        self.told = None
-        self.told_at = 0.0
-        self.reads = collections.deque(maxlen=_MAX_PENDING_READS)
-        # Each with how many more times it is told.
-        self.notices = collections.deque(maxlen=_MAX_PENDING_NOTICES)
+        self.reported = None
+        self.reported_at = 0.0
+        self.reads = collections.deque(maxlen=_MAX_QUEUED_READS)
+        # Pairs of a notice and the number of sends left.
+        self.notices = collections.deque(maxlen=_MAX_QUEUED_NOTICES)
 
     def take_reads(self):
-        """Return and forget as many reads as one report holds."""
-        count = min(len(self.reads), _READS_A_REPORT)
+        """Remove and return as many reads as one report holds."""
+        count = min(len(self.reads), _MAX_READS_PER_REPORT)
         return [self.reads.popleft() for _ in range(count)]
 
     def take_notices(self):
-        """Return as many notices as one report holds, and keep those to tell again."""
+        """Return as many notices as one report holds; requeue those with sends left."""
         taken = []
-        for _ in range(min(len(self.notices), _NOTICES_A_REPORT)):
-            notice, times = self.notices.popleft()
+        for _ in range(min(len(self.notices), _MAX_NOTICES_PER_REPORT)):
+            notice, sends_left = self.notices.popleft()
             taken.append(notice)
-            if times > 1:
-                self.notices.append((notice, times - 1))
+            if sends_left > 1:
+                self.notices.append((notice, sends_left - 1))
         return taken
 
 
 class Links:
-    """The links of a gateway by host; reads arrive from other threads."""
+    """The links of a gateway by host; reads may be queued from other threads."""
 
     def __init__(self):
         self._by_host = {}
@@ -59,9 +60,9 @@
         return iter(list(self._by_host.values()))
 
     def update(self, plan):
-        """Have a link to everybody whom the plan says to report to."""
+        """Add and remove links so that they match the plan."""
         wanted = {row.host: (row, Role.DOWN) for row in plan.group}
-        wanted.update({row.host: (row, Role.ACROSS) for row in plan.fellows})
+        wanted.update({row.host: (row, Role.ACROSS) for row in plan.other_relays})
         if plan.relay is not None:
             wanted[plan.relay.host] = (plan.relay, Role.UP)
         with self._lock:
@@ -73,15 +74,15 @@
                     link = self._by_host[host] = Link(member, role)
                 link.member = member
 
-    def add_reads(self, reads):
-        """Note reads of this gateway for everybody."""
+    def queue_reads(self, reads):
+        """Queue reads that follow from this gateway's requests on all links."""
         with self._lock:
             for link in self._by_host.values():
                 link.reads.extend(reads)
 
     def forward_reads(self, report):
-        """Note the reads in a report for those that it did not go to."""
-        roles = _FORWARDED.get(report.role, ())
+        """Queue the reads in a report for the gateways that it was not sent to."""
+        roles = _FORWARD_ROLES.get(report.role, ())
         if not report.reads or not roles:
             return
         with self._lock:
@@ -89,16 +90,18 @@
                 if link.role in roles and host != report.host:
                     link.reads.extend(report.reads)
 
-    def add_notices(self, notices):
-        """Note what this gateway found out of requests, for everybody."""
+    def queue_notices(self, notices):
+        """Queue notices of this gateway about requests on all links."""
         with self._lock:
             for link in self._by_host.values():
-                link.notices.extend((notice, _TIMES_TOLD) for notice in notices)
+                link.notices.extend((notice, _NOTICE_SEND_COUNT) for notice in notices)
 
     def forward_notices(self, notices, role, sender):
-        """Note news in a report of ``sender`` for those that it did not go to."""
-        roles = _FORWARDED.get(role, ())
+        """Queue new notices from ``sender`` for gateways its report was not sent to."""
+        roles = _FORWARD_ROLES.get(role, ())
         with self._lock:
             for host, link in self._by_host.items():
                 if link.role in roles and host != sender:
-                    link.notices.extend((notice, _TIMES_TOLD) for notice in notices)
+                    link.notices.extend(
+                        (notice, _NOTICE_SEND_COUNT) for notice in notices
+                    )
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
@@ -1,4 +1,4 @@
-"""What this gateway says of itself in its reports, and what theirs say of its view."""
+"""Builds this gateway's reports and derives its view's age from those of peers."""
 
 from ..digests import get_digest
 from ..quarantine.crash_attribution import Notice
@@ -8,9 +8,9 @@
 from .reports import VERSION, Report
 from .sums import Totals
 
-_MEMBERS_A_REPORT = 10
-# Their records say so too once the store is back; more than these leave at once only
-# where a whole service does.
+_MAX_MEMBERS_PER_REPORT = 10
+# More than this many instances leave at once only if a whole service does; for the
+# rest, the records in the store show it once the store is reachable again.
 _MAX_LEAVING = 32
 
 
@@ -23,8 +23,8 @@
     return notices + [Notice(fingerprint, None) for fingerprint in report.cleared]
 
 
-def _make_row(notice, now):
-    """Return a crash with ages in milliseconds, as clocks of hosts differ."""
+def _make_crash_row(notice, now):
+    """Return the row of a crash, with ages instead of times as hosts' clocks differ."""
     crash = notice.crash
     sent = round((now - crash.sent) * 1000.0)
     ended = round((now - crash.ended) * 1000.0)
@@ -44,14 +44,14 @@
 
 
 class Reporter:
-    """Makes reports, each with a stamp that peers send back.
+    """Builds reports, each with a stamp that peers send back.
 
     Parameters
     ----------
     number : int
-        This incarnation of the gateway.
+        Incarnation number of the gateway.
     rng : random.Random
-        Picks the members to tell of.
+        Selects the members that a report lists.
     """
 
     def __init__(self, state, number, rng):
@@ -71,11 +71,12 @@
         host=None,
         notices=(),
     ):
-        """Return a `Report`, with an echo where it goes to one ``host`` only."""
+        """Return a `Report`, with an echo if it is addressed to a single ``host``."""
         state = self._state
         self._seq += 1
         peer = state.members.peers.get(host)
-        # Before the ends: what comes meanwhile makes them newer than this says.
+        # The age is read before the offsets: a record that arrives in between may only
+        # make the offsets newer than the age claims, never older.
         age = state.freshness.get_age(now)
         return Report(
             VERSION,
@@ -99,27 +100,28 @@
             stamp=self._stamps.make(),
             echo=make_echo(peer.report if peer else None),
             quarantine_offset=state.quarantine_offset,
-            crashes=[_make_row(row, now) for row in notices if row.crash],
+            crashes=[_make_crash_row(row, now) for row in notices if row.crash],
             cleared=[row.fingerprint for row in notices if not row.crash],
             leaving=self._get_leaving(),
         )
 
-    def note_view(self, report):
-        """Take in how old the view of a peer is that knows no more than we do."""
+    def observe_peer_view(self, report):
+        """Record the age of a peer's view if it contains no more than this one's."""
         state = self._state
-        spoken_after = self._stamps.get_time(report.echo)
-        if spoken_after is None or report.store_age < 0.0:
+        sent_after = self._stamps.get_time(report.echo)
+        if sent_after is None or report.store_age < 0.0:
             return
         known = get_version(state) >= report.catalog_version
         known = known and state.catalog_offset >= report.catalog_offset
         if known and state.directory_offset >= report.directory_offset:
-            state.freshness.note_peer(spoken_after - report.store_age)
+            state.freshness.note_peer(sent_after - report.store_age)
 
     def _get_leaving(self):
-        """Return the digests of instances whose records do not say that they leave.
+        """Return the digests of leaving instances whose records do not show it yet.
 
-        Every gateway passes on what it knows, so that relays and gateways that start
-        learn it. It is never retracted: a life that leaves does not return.
+        Every gateway reports all that it has learned, so that relays and gateways that
+        start receive it too. An entry is never retracted: an incarnation of an instance
+        that is leaving does not return.
         """
         names = self._state.directory.get_unrecorded_leaving()
         return [get_digest(name) for name in sorted(names)[:_MAX_LEAVING]]
@@ -127,5 +129,5 @@
     def _pick_members(self, now):
         members = self._state.members
         live = [members.get(peer.host) for peer in members.get_live(now)]
-        picked = self._rng.sample(live, min(len(live), _MEMBERS_A_REPORT))
+        picked = self._rng.sample(live, min(len(live), _MAX_MEMBERS_PER_REPORT))
         return [tuple(member) for member in [members.own, *picked]]
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
@@ -1,69 +1,69 @@
-"""Passing a stream of events on, whole event by whole event."""
+"""Forwarding of event streams in units of whole events."""
 
 from ..transport.events import EventSplitter, is_later
 from ..transport.replies import ClientDisconnected
 from ..transport.responses import Data, End
 from .exchanges import Failure, Fault
 
-# The rest of the time that an event may be held is for the network and for a
-# processor that is busy.
-_RESTING_RATIO = 0.3
+# Part of the permitted delay of an event that is spent on coalescing writes; the rest
+# is left for the network and for a busy processor.
+_COALESCE_RATIO = 0.3
 
 
 async def forward_stream(state, ctx, exchange, head, work):
-    """Pass events on as they come; return None when whole, or a `Failure`.
+    """Forward events as they arrive; return None at the end, or a `Failure`.
 
-    Only whole events go out, so that a stream which breaks can be taken up
-    again at another upstream inside the same answer. After each write the
-    stream rests, so that what follows closely is read and written at once:
-    most of the processor time goes into wake-ups and calls, not into bytes.
+    Only whole events are sent, so that a stream that breaks off can be resumed at
+    another upstream within the same response. A pause follows each write, so that
+    events which follow closely are read and written together: most of the CPU time is
+    spent on wake-ups and calls rather than on bytes.
     """
     splitter = EventSplitter()
-    rest = state.cfg.streams.max_delay_ms / 1000.0 * _RESTING_RATIO
+    coalesce_s = state.cfg.streams.max_delay_ms / 1000.0 * _COALESCE_RATIO
     while True:
         item = await exchange.read()
         if isinstance(item, Failure):
             return item
         if isinstance(item, End):
-            return await _end(ctx, head, splitter)
+            return await _finish_stream(ctx, head, splitter)
         assert isinstance(item, Data)
         state.loads.note_progress(work, state.clock())
         blocks = splitter.feed(item.data)
-        while (more := exchange.read_ready()) is not None:
-            blocks += splitter.feed(more.data)
-        failure = await _pass_on(ctx, head, blocks)
+        while (next_data := exchange.read_ready()) is not None:
+            blocks += splitter.feed(next_data.data)
+        failure = await _forward_blocks(ctx, head, blocks)
         if failure is not None:
             return failure
         if blocks and not exchange.is_over:
-            await state.sleep(rest)
+            await state.pause(coalesce_s)
 
 
-async def _pass_on(ctx, head, blocks):
-    later = [block for block in blocks if is_later(block.id, ctx.last_event_id)]
-    if not later:
+async def _forward_blocks(ctx, head, blocks):
+    new_blocks = [block for block in blocks if is_later(block.id, ctx.last_event_id)]
+    if not new_blocks:
         return None
     try:
-        _start(ctx, head)
-        await ctx.reply.write(b"".join(block.data for block in later))
+        _start_stream(ctx, head)
+        await ctx.reply.write(b"".join(block.data for block in new_blocks))
     except ClientDisconnected:
-        return Failure(Fault.GONE, "the client left")
-    for block in later:
+        return Failure(Fault.GONE, "client disconnected")
+    for block in new_blocks:
         ctx.last_event_id = block.id or ctx.last_event_id
     return None
 
 
-async def _end(ctx, head, splitter):
+async def _finish_stream(ctx, head, splitter):
     try:
-        _start(ctx, head)
+        _start_stream(ctx, head)
         if splitter.has_partial_event:
             await ctx.reply.write(splitter.take_partial_event())
     except ClientDisconnected:
-        return Failure(Fault.GONE, "the client left")
+        return Failure(Fault.GONE, "client disconnected")
     ctx.reply.end()
     return None
 
 
-def _start(ctx, head):
+def _start_stream(ctx, head):
     if not ctx.reply.started:
         ctx.answered = head.status
         ctx.reply.start_stream(head.status, list(head.headers.items()))
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
@@ -1,8 +1,8 @@
-"""Whether an upstream that broke a request off has ended.
+"""Detects whether an upstream that broke off a request has exited.
 
-A connection that breaks off says little: upstreams cut answers, reset connections and
-lose them. Where a new connection is refused at the same moment, nobody listens there
-any more, and the process has ended.
+A connection that breaks off is not sufficient evidence: running upstreams also truncate
+responses, and reset or lose connections. If a new connection is refused at the same
+time, no process listens at the address any more, so the upstream has exited.
 """
 
 import asyncio
@@ -10,71 +10,75 @@
 
 from .connections import connect
 
-# Seconds that a new connection may take; one that is lost on the way proves nothing.
-_PROBE_TIMEOUT = 0.2
-# Seconds for which an end is believed without another look: shorter than an upstream
-# takes to come back.
-_BELIEVED_FOR = 1.0
+# A probe that times out, as when its packets are lost, proves nothing.
+_PROBE_TIMEOUT_S = 0.2
+# For this long an exit is assumed to last without another probe; it is shorter than the
+# restart of an upstream takes.
+_EXIT_VALID_S = 1.0
 
 
-class _Nobody:
-    """Whom a probe is for: a client that never leaves."""
+class _ProbeClient:
+    """The client of a probe, which never disconnects."""
 
     is_disconnected = False
 
     def watch(self, waiter):
-        """Have nobody to watch."""
+        """Ignore the waiter, as this client never disconnects."""
 
 
 class Endings:
-    """Ends of upstreams found out by this gateway; used on the event loop only.
+    """Exits of upstreams detected by this gateway; used on the event loop only.
 
     Parameters
     ----------
     keep : callable
-        Called with an instance's id and a new connection to it: it still listens.
+        Called with the id of an instance that still listens and a new connection to it.
     connect : callable
-        As `connections.connect`.
+        Has the signature of `connections.connect`.
     """
 
     def __init__(self, clock, keep, connect=connect):
         self._clock = clock
         self._keep = keep
         self._connect = connect
-        self._ended = {}
-        self._asking = {}
+        self._exited_at = {}
+        self._probes = {}
 
     async def has_ended(self, instance, sent):
-        """Return whether the instance has ended after a request was ``sent`` there.
+        """Return whether the instance has exited after the time a request was ``sent``.
 
-        One that ended before cannot have run the request.
+        An instance that exited before that time cannot have run the request.
         """
-        known = self._ended.get(instance.id)
-        if known is not None and self._clock() - known < _BELIEVED_FOR:
-            return sent < known
-        asking = self._asking.get(instance.id)
-        if asking is None:
-            asking = self._asking[instance.id] = asyncio.ensure_future(
-                self._ask(instance)
+        exited_at = self._exited_at.get(instance.id)
+        if exited_at is not None and self._clock() - exited_at < _EXIT_VALID_S:
+            return sent < exited_at
+        probe = self._probes.get(instance.id)
+        if probe is None:
+            probe = self._probes[instance.id] = asyncio.ensure_future(
+                self._probe(instance)
             )
-        return await asyncio.shield(asking)
+        return await asyncio.shield(probe)
 
-    async def _ask(self, instance):
+    async def _probe(self, instance):
         try:
-            sock = await self._connect(instance.address, _Nobody(), _PROBE_TIMEOUT)
+            sock = await self._connect(
+                instance.address, _ProbeClient(), _PROBE_TIMEOUT_S
+            )
         except OSError as exc:
-            ended = exc.errno == errno.ECONNREFUSED
-            if ended:
-                self._note_ended(instance.id)
-            return ended
+            is_refused = exc.errno == errno.ECONNREFUSED
+            if is_refused:
+                self._record_exit(instance.id)
+            return is_refused
         finally:
-            del self._asking[instance.id]
+            del self._probes[instance.id]
         self._keep(instance.id, sock)
         return False
 
-    def _note_ended(self, instance_id):
+    def _record_exit(self, instance_id):
         now = self._clock()
-        old = [key for key, at in self._ended.items() if now - at >= _BELIEVED_FOR]
-        for key in old:
-            del self._ended[key]
-        self._ended[instance_id] = now
+        expired = [
+            key for key, at in self._exited_at.items() if now - at >= _EXIT_VALID_S
+        ]
+        for key in expired:
+            del self._exited_at[key]
+        self._exited_at[instance_id] = now
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
@@ -1,27 +1,29 @@
-"""What upstreams say of themselves in the heads of their answers.
+"""Signals of upstreams about their own state in the heads of their responses.
 
-The heads of all final answers count, whatever becomes of the answer: rejections,
-failures, streams whose end is still to come, answers to another request. Only
-`MISDIRECTED` ones do not, since they come from another upstream at the address.
+The heads of all final responses are evaluated, whatever becomes of the response:
+rejections, failures, streams that have not ended yet, responses to another request.
+Responses with the status `MISDIRECTED` are skipped, as they are sent by a
+different upstream at the address.
 """
 
 from typing import NamedTuple
 
 from .exchanges import MISDIRECTED
 
-LEAVING = "1"
-# From where it may be known that an upstream leaves, besides its record.
+LEAVING_VALUE = "1"
+# Sources, besides its record, from which a gateway learns that an upstream is leaving.
 SOURCES = ("answer", "peer")
 _RETRY_AFTER = "retry-after"
-_SHEDDING = frozenset((429, 503))
-# Characters of a header's value on a line of the log.
-_MAX_VALUE = 40
+_OVERLOAD_STATUSES = frozenset((429, 503))
+# Header values are truncated to this many characters in the log.
+_MAX_LOGGED_VALUE_LENGTH = 40
 
 
 class Signals(NamedTuple):
-    """What a head says: ``backoff`` is in seconds, None where no pause is asked for.
+    """The signals in a head.
 
-    ``fault`` is the value of a ``Retry-After`` that cannot be followed, else None.
+    ``backoff`` is in seconds, None if no backoff is requested. ``fault`` is the value
+    of a ``Retry-After`` that is invalid or unsupported, else None.
     """
 
     is_leaving: bool = False
@@ -30,23 +32,23 @@
 
 
 def read_signals(names, head):
-    """Return the `Signals` in the `answers.Head` of a final answer."""
+    """Return the `Signals` in the `answers.Head` of a final response."""
     if head.status == MISDIRECTED:
         return Signals()
-    is_leaving = head.headers.get(names.leaving.lower()) == LEAVING
+    is_leaving = head.headers.get(names.leaving.lower()) == LEAVING_VALUE
     text = head.headers.get(_RETRY_AFTER)
-    if text is None or head.status not in _SHEDDING:
+    if text is None or head.status not in _OVERLOAD_STATUSES:
         return Signals(is_leaving)
     seconds = parse_retry_after(text)
     if seconds is None:
-        return Signals(is_leaving, None, text[:_MAX_VALUE])
+        return Signals(is_leaving, None, text[:_MAX_LOGGED_VALUE_LENGTH])
     return Signals(is_leaving, seconds or None)
 
 
 def parse_retry_after(text):
-    """Return the seconds in a ``Retry-After``, fractions included, or None.
+    """Return the seconds in a ``Retry-After``, which may be fractional, or None.
 
-    Dates are not followed, as the wall clocks of hosts differ, and may jump.
+    Dates are not supported, as the wall clocks of hosts differ and may jump.
     """
     whole, _, fraction = text.partition(".")
     digits = whole + fraction
@@ -56,11 +58,13 @@
 
 
 def observe_head(state, ctx, instance, head):
-    """Take in what the head of an answer says of its upstream."""
+    """Apply the signals in the head of an upstream's response."""
     state.loads.record_response_head(instance.id, state.clock())
     signals = read_signals(state.names, head)
     if signals.is_leaving:
-        note_leaving(state, instance.id, "answer", id=ctx.id, status=head.status)
+        mark_upstream_leaving(
+            state, instance.id, "answer", id=ctx.id, status=head.status
+        )
     if signals.fault is not None:
         state.log.note(
             "retry-after ignored",
@@ -74,8 +78,8 @@
         add_backoff(state, instance.id, signals.backoff, id=ctx.id, status=head.status)
 
 
-def note_leaving(state, instance_id, source, **inputs):
-    """Note that an upstream leaves, which its record may not say yet."""
+def mark_upstream_leaving(state, instance_id, source, **inputs):
+    """Mark an upstream as leaving, even if its record does not show it yet."""
     now = state.clock()
     noted = state.directory.get_record_position(instance_id)
     if not state.directory.mark_leaving(instance_id, source):
@@ -92,7 +96,7 @@
 
 
 def add_backoff(state, instance_id, seconds, **inputs):
-    """Note that an upstream wants nothing from this gateway for some seconds."""
+    """Start or extend the backoff that an upstream requests of this gateway."""
     now = state.clock()
     is_new = state.backoffs.add(instance_id, seconds, now)
     state.metrics.backoffs.inc()
@@ -104,6 +108,6 @@
 
 
 def end_backoffs(state):
-    """Log the pauses that are over."""
+    """Log the backoffs that have ended since the last call."""
     for instance_id in state.backoffs.take_ended(state.clock()):
         state.log.note("upstream backoff over", upstream=instance_id)
