--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/exchanges.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/exchanges.py
@@ -68,7 +68,8 @@
     sock : socket.socket
         A connected socket, which is set to non-blocking.
     client : object
-        Has ``is_disconnected`` and ``watch``; watched for its disconnection while waiting.
+        Has ``is_disconnected`` and ``watch``; watched for its disconnection while
+        waiting.
     keep : callable
         Called with ``(sock, lifetime)`` when the connection may be reused.
     on_head : callable
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
@@ -35,7 +35,7 @@
         if failure is not None:
             return failure
         if blocks and not exchange.is_over:
-            await state.pause(coalesce_s)
+            await state.sleep(coalesce_s)
 
 
 async def _forward_blocks(ctx, head, blocks):
