--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
@@ -330,7 +330,7 @@
             host=link.member.host,
             notices=link.take_notices(),
         )
-        members.note_tried(link.member.host, now)
+        members.expect_reply(link.member.host, now)
         self._send_to(link.member.address, report)
 
     def _send_hellos(self, plan, now):
@@ -338,7 +338,7 @@
         members = self._state.members
         report = self._reporter.make(Role.HELLO, now, with_members=True)
         for member in plan.hello_targets:
-            members.note_tried(member.host, now)
+            members.expect_reply(member.host, now)
             self._send_to(member.address, report)
         for link in self._links:
             if members.is_suspect(link.member.host, now):
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/freshness.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/freshness.py
@@ -45,19 +45,19 @@
         self.announce_version = 0
         # Returns whether a record has been read but is not in force. The topic offsets
         # then claim more than the view contains, and the view is not marked as newer.
-        self.is_held = lambda: False
+        self.has_unapplied_records = lambda: False
 
-    def note_answer(self, topic, as_of):
+    def record_store_read(self, topic, as_of):
         """Record that the store's responses on a topic are complete as of a time."""
-        if self.is_held():
+        if self.has_unapplied_records():
             return
         with self._lock:
             self._store_as_of[topic] = max(as_of, self._store_as_of.get(topic, as_of))
             self._update_announcement()
 
-    def note_peer(self, as_of):
+    def record_peer_view(self, as_of):
         """Record a time as of which a peer with no newer view had it complete."""
-        if self.is_held():
+        if self.has_unapplied_records():
             return
         with self._lock:
             self._peer_as_of = (
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
@@ -79,7 +79,7 @@
         self._known = {own.host: own}
         self._ranked = {own.domain: [own]}
         self._unresolved = set()
-        self._tried = {}
+        self._reply_awaited_since = {}
         self.peers = {}
         # Increases when a gateway is added, changes, or reports in another role.
         self.version = 0
@@ -121,7 +121,7 @@
         """Return the members of a domain in an order that is the same everywhere."""
         return self._ranked.get(domain, [])
 
-    def find_senior(self, now):
+    def find_higher_ranked(self, now):
         """Return the first unsuspected member ranked before this one in its domain.
 
         None means that this gateway itself acts for its domain.
@@ -150,18 +150,18 @@
             self.peers[report.host] = peer
             member = Member(report.host, report.domain, address, report.capacity)
             self._put(member)
-            self._tried.pop(report.host, None)
+            self._reply_awaited_since.pop(report.host, None)
             return peer
 
-    def note_tried(self, host, now):
+    def expect_reply(self, host, now):
         """Record a send that the host should reply to."""
         peer = self.peers.get(host)
         if peer is None or now - peer.heard > _REPLY_TIMEOUT_S:
-            self._tried.setdefault(host, now)
+            self._reply_awaited_since.setdefault(host, now)
 
     def is_suspect(self, host, now):
         """Return whether the host has left a send without a reply for too long."""
-        sent_at = self._tried.get(host)
+        sent_at = self._reply_awaited_since.get(host)
         return sent_at is not None and now - sent_at > _REPLY_TIMEOUT_S
 
     def get_live(self, now):
@@ -206,7 +206,7 @@
             ]
             for peer in dropped:
                 del self.peers[peer.host]
-                self._tried.setdefault(peer.host, now - _REPLY_TIMEOUT_S)
+                self._reply_awaited_since.setdefault(peer.host, now - _REPLY_TIMEOUT_S)
         return dropped
 
     def _is_member_address(self, address):
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
@@ -114,7 +114,7 @@
         known = get_version(state) >= report.catalog_version
         known = known and state.catalog_offset >= report.catalog_offset
         if known and state.directory_offset >= report.directory_offset:
-            state.freshness.note_peer(sent_after - report.store_age)
+            state.freshness.record_peer_view(sent_after - report.store_age)
 
     def _get_leaving(self):
         """Return the digests of leaving instances whose records do not show it yet.
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -8,9 +8,9 @@
 )
 from ..transport.responses import Head
 from ..upstreams import streams
-from ..upstreams.connections import MAX_IDLE, connect
+from ..upstreams.connections import MAX_IDLE_S, connect
 from ..upstreams.exchanges import (
-    MISDIRECTED,
+    MISDIRECTED_STATUS,
     Call,
     Exchange,
     Failure,
@@ -73,7 +73,7 @@
     if (
         failure is not None
         and failure.fault in _TIMEOUT_FAULTS
-        and not exchange.is_heard
+        and not exchange.has_received_bytes
     ):
         # The connection may have gone silent, and the idle ones to this instance as
         # well. Each of them would cost another request its whole time limit, while a
@@ -120,7 +120,7 @@
 
 async def _get_socket(state, ctx, instance):
     repeatable = ctx.route.repeatable
-    max_idle = MAX_IDLE if repeatable else _MAX_UNREPEATABLE_IDLE_S
+    max_idle = MAX_IDLE_S if repeatable else _MAX_UNREPEATABLE_IDLE_S
     sock = state.connections.take(instance.id, max_idle)
     if sock is not None:
         return sock
@@ -141,7 +141,7 @@
         return head
     if not isinstance(head, Head):
         return Failure(Fault.AMBIGUOUS, "response without a head")
-    if state.names.not_run.lower() in head.headers or head.status == MISDIRECTED:
+    if state.names.not_run.lower() in head.headers or head.status == MISDIRECTED_STATUS:
         return await _read_rejection(exchange, head)
     signed = state.names.signature.lower() in head.headers
     if head.status < 300 and not signed:
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
@@ -2,7 +2,7 @@
 
 from ..admission.shares import describe_share_status
 from ..quarantine.fingerprints import format_fingerprint
-from ..upstreams.exchanges import MISDIRECTED, Fault
+from ..upstreams.exchanges import MISDIRECTED_STATUS, Fault
 from ..view_source import describe_catalog, describe_upstream, describe_view
 
 # Statuses that deny a client's request; wrong if the configuration is outdated.
@@ -95,7 +95,7 @@
     instance_id = choice.instance.id
     ejection_s = None
     state.metrics.send_failures.labels(failure.fault.value).inc()
-    if failure.status == MISDIRECTED:
+    if failure.status == MISDIRECTED_STATUS:
         state.loads.mark_replaced(instance_id, now)
         state.connections.drop(instance_id)
     elif _is_unrelated_to_health(state, instance_id, failure, now):
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retry_policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/retry_policy.py
@@ -3,7 +3,7 @@
 from valeweir.models import Outcome
 
 from ..refusals import BUSY_RETRY_AFTER_S, Refusal
-from ..upstreams.exchanges import MISDIRECTED, Fault
+from ..upstreams.exchanges import MISDIRECTED_STATUS, Fault
 
 NOT_RUN_FAULTS = frozenset((Fault.NOT_SENT, Fault.REJECTED))
 
@@ -17,7 +17,7 @@
     not_run = failure.fault is Fault.REJECTED
     if not not_run and not ctx.route.repeatable:
         return False
-    misdirected = not_run and failure.status == MISDIRECTED
+    misdirected = not_run and failure.status == MISDIRECTED_STATUS
     if ctx.sends >= ctx.route.max_attempts and not misdirected:
         return False
     if ctx.sends > ctx.route.max_attempts:
--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -64,7 +64,7 @@
         )
         self._updater = ViewUpdater(state, adapter)
         self._followers = create_followers(state, adapter, read_policy, self._updater)
-        state.freshness.is_held = self._has_unapplied_records
+        state.freshness.has_unapplied_records = self._has_unapplied_records
         self._fleet_server = create_server(
             listen.fleet,
             create_sync_handler(
@@ -102,7 +102,9 @@
         asyncio.run_coroutine_threadsafe(self._start_servers(), self._loop).result(
             _OPEN_TIMEOUT_S
         )
-        self.timers.subscribe("idle", _CHECK_INTERVAL_S, state.connections.drop_stale)
+        self.timers.subscribe(
+            "idle", _CHECK_INTERVAL_S, state.connections.close_expired
+        )
         self.timers.subscribe(
             "quarantine",
             _CHECK_INTERVAL_S,
@@ -111,7 +113,7 @@
         self.timers.subscribe(
             "backoffs",
             _BACKOFF_CHECK_INTERVAL_S,
-            lambda: upstream_signals.end_backoffs(state),
+            lambda: upstream_signals.log_ended_backoffs(state),
         )
         self.timers.subscribe(
             "caches", _CACHE_CHECK_INTERVAL_S, self._cache_discovery.queue_new_engines
@@ -237,7 +239,7 @@
         gauges.instances.set(len(state.directory.by_id))
         gauges.backing_off.set(state.backoffs.count_active(state.clock()))
         sources = collections.Counter(state.directory.get_unrecorded_leaving().values())
-        for source in upstream_signals.SOURCES:
+        for source in upstream_signals.LEAVING_SOURCES:
             gauges.leaving.labels(source).set(sources[source])
         gauges.leaving.labels("record").set(state.directory.count_leaving())
         gauges.report_bytes.set(self._fleet.sent_bytes)
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
@@ -30,7 +30,7 @@
 
 def choose_peer(members, now):
     """Return the `Member` to request cache lists from, or None to list engines."""
-    return None if members.is_mesh else members.find_senior(now)
+    return None if members.is_mesh else members.find_higher_ranked(now)
 
 
 def create_caches_handler(state):
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -31,7 +31,7 @@
 from .quarantine.records import Quarantine
 from .transport.headers import HeaderNames, get_replaced_headers, get_reserved_headers
 from .upstreams.connections import Connections
-from .upstreams.upstream_exits import Endings
+from .upstreams.upstream_exits import UpstreamExits
 from .view.directory import Directory
 from .view.evacuations import Evacuations
 from .view.lapsed_records import LapsedRecords
@@ -102,7 +102,7 @@
         self.shares = Shares(self.usage, cfg.sharing)
         self.backoffs = Backoffs()
         self.connections = Connections(clock)
-        self.endings = Endings(clock, self.connections.keep)
+        self.endings = UpstreamExits(clock, self.connections.keep)
         self.suspects = Suspects()
         self.quarantine = Quarantine()
         self.quarantine_offset = 0
@@ -156,7 +156,7 @@
 
     def record_store_response(self, topic, as_of):
         """Record that the store's responses on a topic are complete as of a time."""
-        self.freshness.note_answer(topic, as_of)
+        self.freshness.record_store_read(topic, as_of)
 
     def record_view_update(self, topic, update):
         """Record the last `view_source.ViewUpdate` of a topic."""
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
@@ -18,7 +18,7 @@
 
 CONNECT_TIMEOUT_S = 0.4
 _MAX_IDLE_PER_INSTANCE = 8
-MAX_IDLE = 4.0
+MAX_IDLE_S = 4.0
 
 
 class IdleConnection:
@@ -40,7 +40,7 @@
         self._idle = {}
         self._lock = threading.Lock()
 
-    def take(self, instance_id, max_idle_s=MAX_IDLE):
+    def take(self, instance_id, max_idle_s=MAX_IDLE_S):
         """Return an idle socket that is neither readable nor expired, or None."""
         now = self._clock()
         while True:
@@ -57,7 +57,7 @@
     def keep(self, instance_id, sock, lifetime=None):
         """Keep a socket for at most ``lifetime`` seconds, or close it at the limit."""
         now = self._clock()
-        expires_at = now + min(MAX_IDLE, lifetime or MAX_IDLE)
+        expires_at = now + min(MAX_IDLE_S, lifetime or MAX_IDLE_S)
         with self._lock:
             rows = self._idle.setdefault(instance_id, [])
             if len(rows) < _MAX_IDLE_PER_INSTANCE:
@@ -72,7 +72,7 @@
         for idle in rows:
             idle.sock.close()
 
-    def drop_stale(self):
+    def close_expired(self):
         """Close the connections that have expired."""
         now = self._clock()
         stale = []
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/exchanges.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/exchanges.py
@@ -13,7 +13,7 @@
 from ..transport.sockets import is_readable
 
 # Sent by a different upstream that now listens at the address.
-MISDIRECTED = 421
+MISDIRECTED_STATUS = 421
 _READ_SIZE_BYTES = 64 << 10
 _MAX_RESPONSE_BYTES = 64 << 20
 
@@ -87,7 +87,7 @@
         self._reusable = True
         self._call = None
         # Whether any byte of a response has been received.
-        self.is_heard = False
+        self.has_received_bytes = False
 
     async def send(self, call):
         """Send the request; return None or a `Failure`."""
@@ -171,7 +171,7 @@
                 return self._fail(
                     Fault.AMBIGUOUS, f"receiving failed: {exc}", broke_off=True
                 )
-            self.is_heard = True
+            self.has_received_bytes = True
             self._parser.feed(data)
             return None
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
@@ -26,7 +26,7 @@
         """Ignore the waiter, as this client never disconnects."""
 
 
-class Endings:
+class UpstreamExits:
     """Exits of upstreams detected by this gateway; used on the event loop only.
 
     Parameters
@@ -44,7 +44,7 @@
         self._exited_at = {}
         self._probes = {}
 
-    async def has_ended(self, instance, sent):
+    async def has_exited(self, instance, sent):
         """Return whether the instance has exited after the time a request was ``sent``.
 
         An instance that exited before that time cannot have run the request.
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
@@ -2,17 +2,17 @@
 
 The heads of all final responses are evaluated, whatever becomes of the response:
 rejections, failures, streams that have not ended yet, responses to another request.
-Responses with the status `MISDIRECTED` are skipped, as they are sent by a
+Responses with the status `MISDIRECTED_STATUS` are skipped, as they are sent by a
 different upstream at the address.
 """
 
 from typing import NamedTuple
 
-from .exchanges import MISDIRECTED
+from .exchanges import MISDIRECTED_STATUS
 
 LEAVING_VALUE = "1"
 # Sources, besides its record, from which a gateway learns that an upstream is leaving.
-SOURCES = ("answer", "peer")
+LEAVING_SOURCES = ("answer", "peer")
 _RETRY_AFTER = "retry-after"
 _OVERLOAD_STATUSES = frozenset((429, 503))
 # Header values are truncated to this many characters in the log.
@@ -33,7 +33,7 @@
 
 def read_signals(names, head):
     """Return the `Signals` in the `answers.Head` of a final response."""
-    if head.status == MISDIRECTED:
+    if head.status == MISDIRECTED_STATUS:
         return Signals()
     is_leaving = head.headers.get(names.leaving.lower()) == LEAVING_VALUE
     text = head.headers.get(_RETRY_AFTER)
@@ -107,7 +107,7 @@
     )
 
 
-def end_backoffs(state):
+def log_ended_backoffs(state):
     """Log the backoffs that have ended since the last call."""
     for instance_id in state.backoffs.take_ended(state.clock()):
         state.log.note("upstream backoff over", upstream=instance_id)
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/store_read_policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/store_read_policy.py
@@ -149,7 +149,7 @@
 
     def _is_first_in_domain(self, now):
         """Return whether no earlier gateway of this domain is available."""
-        return self._state.members.find_senior(now) is None
+        return self._state.members.find_higher_ranked(now) is None
 
     def _is_first_in_fleet(self, now):
         """Return whether no earlier gateway of the fleet is available."""
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/view_sync.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/view_sync.py
@@ -185,7 +185,7 @@
         merge_topic_view(self._instances, view.instances, source)
         merge_topic_view(self._quarantine, view.quarantine, source)
         if view.age >= 0.0:
-            self._state.freshness.note_peer(requested_at - view.age)
+            self._state.freshness.record_peer_view(requested_at - view.age)
 
     def _run(self, stopped):
         while not stopped.is_set():
