--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from ..digests import get_digest
-from ..fleet.sums import add_rows
+from ..fleet.totals import add_rows
 from .usage import TokenUsage, compute_share_level
 
 # The share level is computed at most once per interval.
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/exchange.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/report_exchange.py
@@ -17,7 +17,7 @@
 from .relays import make_plan
 from .reporter import Reporter, get_notices, make_own_totals
 from .reports import Role, decode_report, encode_report
-from .sums import Totals
+from .totals import Totals
 
 # Intervals between ticks: in a full mesh or with many requests in flight, behind
 # relays, and with nothing to report.
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/reporter.py
@@ -6,7 +6,7 @@
 from ..view_source import get_version
 from .freshness import Stamps, make_echo
 from .reports import VERSION, Report
-from .sums import Totals
+from .totals import Totals
 
 _MAX_MEMBERS_PER_REPORT = 10
 # More than this many instances leave at once only if a whole service does; for the
--- a/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/gateway.py
@@ -7,7 +7,7 @@
 
 from valeweir.timers import get_lease_time
 
-from .fleet.exchange import create_fleet
+from .fleet.report_exchange import create_fleet
 from .forwarding.handler import create_handler
 from .loops import create_loop
 from .operations import metrics
--- a/packages/valeweir_gateway/tests/conflicts.py
+++ b/packages/valeweir_gateway/tests/conflicts.py
@@ -16,7 +16,7 @@
 from valeweir_gateway.admission.usage import UsageWindow
 from valeweir_gateway.digests import get_digest
 from valeweir_gateway.fleet.members import Member, Members
-from valeweir_gateway.fleet.sums import Totals
+from valeweir_gateway.fleet.totals import Totals
 from valeweir_gateway.placement.choice import choose_engine
 from valeweir_gateway.placement.loads import Loads
 from valeweir_gateway.placement.prompts import Part, Prompt
--- a/packages/valeweir_gateway/tests/test_sharing.py
+++ b/packages/valeweir_gateway/tests/test_sharing.py
@@ -10,7 +10,7 @@
 )
 from valeweir_gateway.admission.usage import UsageWindow, compute_share_level
 from valeweir_gateway.digests import get_digest
-from valeweir_gateway.fleet.sums import Totals
+from valeweir_gateway.fleet.totals import Totals
 from valeweir_gateway.settings import Sharing
 
 INFINITE = float("inf")
--- a/packages/valeweir_standins/src/valeweir_standins/wires.py
+++ b/packages/valeweir_standins/src/valeweir_standins/wires.py
@@ -6,9 +6,9 @@
 
 from valeweir_gateway.admission.shares import Shares
 from valeweir_gateway.admission.usage import UsageWindow
-from valeweir_gateway.fleet.exchange import Fleet
 from valeweir_gateway.fleet.freshness import Freshness
 from valeweir_gateway.fleet.members import Member, Members
+from valeweir_gateway.fleet.report_exchange import Fleet
 from valeweir_gateway.forwarding.retries import RetryBudget
 from valeweir_gateway.placement.backoffs import Backoffs
 from valeweir_gateway.placement.loads import Loads, Reads
