--- a/packages/valeweir/src/valeweir/configuration.py
+++ b/packages/valeweir/src/valeweir/configuration.py
@@ -11,7 +11,7 @@
 
 from .resources import KINDS, Change, Resource, check_spec
 
-_REMEMBERED_CHANGES = 20_000
+_MAX_VERDICT_COUNT = 20_000
 
 
 class Verdict(NamedTuple):
@@ -52,13 +52,13 @@
         self.offset = offset + 1
         if change is None:
             return None
-        known = self.verdicts.get(change.id)
-        if known is not None:
-            return known
-        verdict = self._judge(offset, change)
-        self._remember(change.id, verdict)
+        earlier = self.verdicts.get(change.id)
+        if earlier is not None:
+            return earlier
+        verdict = self._check_change(offset, change)
+        self._record_verdict(change.id, verdict)
         if verdict.accepted:
-            self._apply(offset, change)
+            self._update_resource(offset, change)
         return verdict
 
     def adopt(self, view):
@@ -81,11 +81,11 @@
         """Return a resource or None."""
         return self.resources[kind].get(name)
 
-    def _judge(self, offset, change):
+    def _check_change(self, offset, change):
         if change.kind not in self.resources:
             return Verdict(False, "unknown kind", 0)
-        now = self.resources[change.kind].get(change.name)
-        version = now.version if now else 0
+        current = self.resources[change.kind].get(change.name)
+        version = current.version if current else 0
         if change.base != version:
             return Verdict(False, "conflict", version)
         if change.spec is None:
@@ -94,14 +94,14 @@
             return Verdict(False, "invalid", version)
         return Verdict(True, "", offset)
 
-    def _apply(self, offset, change):
-        names = self.resources[change.kind]
+    def _update_resource(self, offset, change):
+        by_name = self.resources[change.kind]
         if change.spec is None:
-            names.pop(change.name, None)
+            by_name.pop(change.name, None)
             return
-        now = names.get(change.name)
-        created = now.created if now else offset
-        names[change.name] = Resource(
+        current = by_name.get(change.name)
+        created = current.created if current else offset
+        by_name[change.name] = Resource(
             change.kind,
             change.name,
             offset,
@@ -111,9 +111,9 @@
             change.at,
         )
 
-    def _remember(self, change_id, verdict):
+    def _record_verdict(self, change_id, verdict):
         self.verdicts[change_id] = verdict
-        if len(self.verdicts) > _REMEMBERED_CHANGES:
+        if len(self.verdicts) > _MAX_VERDICT_COUNT:
             self.verdicts.pop(next(iter(self.verdicts)))
 
 
--- a/packages/valeweir/src/valeweir/exceptions.py
+++ b/packages/valeweir/src/valeweir/exceptions.py
@@ -18,7 +18,7 @@
         self.faults = faults
 
 
-class InvariantBroken(ValeweirError):
+class InvariantError(ValeweirError):
     """A promise that the code relies on does not hold; the process must stop."""
 
 
--- a/packages/valeweir/src/valeweir/metrics.py
+++ b/packages/valeweir/src/valeweir/metrics.py
@@ -4,7 +4,7 @@
 
 REGISTRY = CollectorRegistry()
 
-_SECONDS = (0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0, 100.0)
+_BUCKETS_S = (0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0, 100.0)
 
 
 def _counter(name, text, labels=()):
@@ -22,14 +22,14 @@
     "valeweir_queue_seconds",
     "Time from arrival to a slot",
     ["pool", "work_class"],
-    buckets=_SECONDS,
+    buckets=_BUCKETS_S,
     registry=REGISTRY,
 )
 upstream_seconds = Histogram(
     "valeweir_upstream_seconds",
     "Time at the upstream",
     ["pool"],
-    buckets=_SECONDS,
+    buckets=_BUCKETS_S,
     registry=REGISTRY,
 )
 waiting = _gauge("waiting_requests", "Requests waiting for a slot", ["pool"])
--- a/packages/valeweir/src/valeweir/servers.py
+++ b/packages/valeweir/src/valeweir/servers.py
@@ -1,4 +1,4 @@
-"""An HTTP server for handlers that take a `Request` and write to a `Reply`.
+"""An HTTP server for handlers that take a `Request` and write to a `ResponseWriter`.
 
 Thin over cheroot: one thread per connection, written straight down. Adds what
 a router needs: uniform errors with an outcome header, strict lengths, a body
@@ -17,9 +17,9 @@
 
 from .models import OUTCOME_HEADER, Outcome
 
-_GROW_BY = 32
-_SPARE_THREADS = 8
-_MAX_ACCEPTS = 64
+_MIN_GROWTH_COUNT = 32
+_MIN_IDLE_THREAD_COUNT = 8
+_MAX_ACCEPT_COUNT = 64
 
 
 class Request(NamedTuple):
@@ -33,7 +33,7 @@
     target: str
 
 
-class BadBody(Exception):
+class RequestBodyError(Exception):
     """The body cannot be read whole; the connection has to be closed."""
 
     def __init__(self, status, text):
@@ -42,7 +42,7 @@
         self.text = text
 
 
-class Reply:
+class ResponseWriter:
     """Where a handler writes its answer."""
 
     def __init__(self, req):
@@ -150,12 +150,12 @@
             bind_addr, gateway, minthreads=min(16, threads), maxthreads=threads
         )
         self.on_rejection = on_rejection
-        self._need_threads = threading.Event()
+        self._threads_needed = threading.Event()
 
     def start_threads(self):
         """Bind, then serve in threads of their own."""
         self.prepare()
-        for name, run in (("serve", self.serve), ("grow", self._grow)):
+        for name, run in (("serve", self.serve), ("grow", self._grow_pool)):
             threading.Thread(target=run, name=name, daemon=True).start()
 
     def prepare(self):
@@ -169,8 +169,8 @@
         manager = self._connections
         accept_one = manager._from_server_socket
 
-        def accept_waiting(sock):
-            for _ in range(_MAX_ACCEPTS):
+        def accept_pending(sock):
+            for _ in range(_MAX_ACCEPT_COUNT):
                 conn = accept_one(sock)
                 if not _is_readable(sock):
                     return conn
@@ -178,26 +178,26 @@
                     self.process_conn(conn)
             return accept_one(sock)
 
-        manager._from_server_socket = accept_waiting
+        manager._from_server_socket = accept_pending
 
     def check_threads(self):
         """Ask for more threads when few are idle."""
-        if self.requests.idle < _SPARE_THREADS:
-            self._need_threads.set()
+        if self.requests.idle < _MIN_IDLE_THREAD_COUNT:
+            self._threads_needed.set()
 
     def error_log(self, msg="", level=20, traceback=False):
         """Send cheroot's complaints to our log."""
         if level >= 40:
             logger.opt(exception=traceback).error("http server: {}", msg)
 
-    def _grow(self):
+    def _grow_pool(self):
         while self.ready:
-            if self._need_threads.wait(0.5):
-                self._need_threads.clear()
+            if self._threads_needed.wait(0.5):
+                self._threads_needed.clear()
                 # cheroot waits a tenth of a second for each batch to start.
                 running = len(self.requests._threads)
                 try:
-                    self.requests.grow(max(_GROW_BY, running // 2))
+                    self.requests.grow(max(_MIN_GROWTH_COUNT, running // 2))
                 except RuntimeError as exc:
                     # The host gives no more threads now; those there go on.
                     logger.error("no more threads than {}: {}", running, exc)
@@ -218,7 +218,7 @@
     timeout=10.0,
     on_rejection=lambda code: None,
 ):
-    """Return a `Server` that calls ``handle(request, reply)`` in its threads.
+    """Return a `Server` that calls ``handle(request, response)`` in its threads.
 
     Parameters
     ----------
@@ -250,15 +250,15 @@
 
 
 def _respond(req, handle):
-    reply = Reply(req)
+    response = ResponseWriter(req)
     try:
         request = _read_request(req)
-    except BadBody as exc:
+    except RequestBodyError as exc:
         req.simple_response(exc.status, exc.text)
         return
-    handle(request, reply)
-    if not reply.started:
-        reply.send(204, [], b"")
+    handle(request, response)
+    if not response.started:
+        response.send(204, [], b"")
 
 
 def _read_request(req):
@@ -268,7 +268,9 @@
     }
     if "Transfer-Encoding" in headers and "Content-Length" in headers:
         # RFC 9112, 6.3: two lengths may be an attempt at request smuggling.
-        raise BadBody("400 Bad Request", "both Content-Length and Transfer-Encoding")
+        raise RequestBodyError(
+            "400 Bad Request", "both Content-Length and Transfer-Encoding"
+        )
     path = unquote(req.path.decode("latin-1"))
     query_text = (req.qs or b"").decode("latin-1")
     # As it was sent: what goes on to an upstream must not be decoded anew.
@@ -285,11 +287,13 @@
     try:
         body = req.rfile.read() if req.chunked_read else req.rfile.read(length)
     except cheroot_server.errors.MaxSizeExceeded:
-        raise BadBody("413 Request Entity Too Large", "the body is too large") from None
+        raise RequestBodyError(
+            "413 Request Entity Too Large", "the body is too large"
+        ) from None
     except (OSError, ValueError) as exc:
-        raise BadBody("400 Bad Request", f"the body stopped: {exc}") from exc
+        raise RequestBodyError("400 Bad Request", f"the body stopped: {exc}") from exc
     if not req.chunked_read and len(body) != length:
-        raise BadBody("400 Bad Request", "the body stopped before its length")
+        raise RequestBodyError("400 Bad Request", "the body stopped before its length")
     return body
 
 
--- a/packages/valeweir/src/valeweir/settings.py
+++ b/packages/valeweir/src/valeweir/settings.py
@@ -207,7 +207,7 @@
     errors = sorted(checker.iter_errors(data), key=lambda e: list(map(str, e.path)))
     faults = [_get_fault(error, text) for error in errors]
     if not faults:
-        faults = _get_cross_faults(data, text)
+        faults = _get_cross_field_faults(data, text)
     return faults
 
 
@@ -253,11 +253,11 @@
 
 def _get_fault(error, text):
     path = list(error.path)
-    named = re.search(r"'([^']+)' (?:was|were) unexpected", error.message)
-    if named:
-        path.append(named.group(1))
-    shown = "$" + "".join(f"[{p}]" if isinstance(p, int) else f".{p}" for p in path)
-    return Fault(shown, _find_line(path, text), error.message)
+    unexpected = re.search(r"'([^']+)' (?:was|were) unexpected", error.message)
+    if unexpected:
+        path.append(unexpected.group(1))
+    json_path = "$" + "".join(f"[{p}]" if isinstance(p, int) else f".{p}" for p in path)
+    return Fault(json_path, _find_line(path, text), error.message)
 
 
 def _find_line(path, text):
@@ -276,7 +276,7 @@
     return text.count("\n", 0, position) + 1 if found else 0
 
 
-def _get_cross_faults(data, text):
+def _get_cross_field_faults(data, text):
     faults = []
     fleet = {**DEFAULTS["fleet"], **data["fleet"]}
     if fleet["lease"] < 6 * fleet["interval"]:
--- a/packages/valeweir/src/valeweir/timers.py
+++ b/packages/valeweir/src/valeweir/timers.py
@@ -18,7 +18,7 @@
 
 class _Entry(NamedTuple):
     due: float
-    order: int
+    sequence: int
     subscription: "Subscription"
 
 
@@ -48,7 +48,7 @@
     def __init__(self, clock=get_lease_time):
         self.clock = clock
         self._entries = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._changed = threading.Condition()
         self._stopped = False
 
@@ -107,7 +107,7 @@
             self._changed.notify()
 
     def _push(self, sub, due):
-        heapq.heappush(self._entries, _Entry(due, next(self._order), sub))
+        heapq.heappush(self._entries, _Entry(due, next(self._sequence), sub))
 
 
 def _get_wait(interval):
