--- a/packages/valeweir/src/valeweir/__init__.py
+++ b/packages/valeweir/src/valeweir/__init__.py
@@ -1,3 +1,3 @@
-"""Shared vocabulary of the valeweir router fleet."""
+"""Code shared by the packages of the valeweir router fleet."""
 
 __version__ = "0.1.0"
--- a/packages/valeweir/src/valeweir/configuration.py
+++ b/packages/valeweir/src/valeweir/configuration.py
@@ -1,8 +1,8 @@
-"""The fold of the platform's log into the configuration in force.
+"""Builds the current configuration from the records of the platform's log.
 
-Every router folds the same records in the same order with this function, so
-all accept and refuse the same changes. The view never goes back: `adopt`
-takes only a later one.
+Every router applies the same records in the same order with the same code, so all
+routers accept and reject the same changes. The configuration never moves back to an
+earlier offset: `Configuration.adopt` accepts only a later view.
 """
 
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 class Verdict(NamedTuple):
-    """What the fold made of one change; ``why`` is empty when accepted."""
+    """The result of one change; ``why`` is empty if the change was accepted."""
 
     accepted: bool
     why: str
@@ -23,10 +23,10 @@
 
 
 class View(msgspec.Struct, frozen=True):
-    """The whole configuration up to an offset, as routers and snapshots hold it.
+    """The whole configuration up to an offset, as sent to peers and in snapshots.
 
-    ``offset`` is the next offset to read; ``verdicts`` are the latest change
-    ids with their outcome, so that a repeated change is seen as such.
+    ``offset`` is the next offset to read. ``verdicts`` maps the ids of the latest
+    changes to their results, so that a repeated change is recognised.
     """
 
     offset: int
@@ -35,7 +35,7 @@
 
 
 class Configuration:
-    """The configuration in force at one router."""
+    """The current configuration of one router."""
 
     def __init__(self):
         self.offset = 0
@@ -43,9 +43,11 @@
         self.verdicts = {}
 
     def fold(self, offset, change):
-        """Apply the record at ``offset``; return its `Verdict`.
+        """Apply the record at ``offset`` and return its `Verdict`.
 
-        A record already folded is answered from memory and changes nothing.
+        ``change`` is None for a record without a change. A record that was applied
+        before changes nothing; the result is its recorded verdict, or None if that
+        has been dropped.
         """
         if offset < self.offset:
             return self.verdicts.get(change.id) if change else None
@@ -62,7 +64,7 @@
         return verdict
 
     def adopt(self, view):
-        """Take a later view whole; return False, unchanged, for an older one."""
+        """Replace the configuration by a later view; return False for an older one."""
         if view.offset <= self.offset:
             return False
         self.offset = view.offset
@@ -73,12 +75,12 @@
         return True
 
     def get_view(self):
-        """Return a `View` for a snapshot or a peer."""
+        """Return the configuration as a `View` for a snapshot or a peer."""
         resources = [r for kind in KINDS for r in self.resources[kind].values()]
         return View(self.offset, resources, dict(self.verdicts))
 
     def get(self, kind, name):
-        """Return a resource or None."""
+        """Return a resource, or None if it does not exist."""
         return self.resources[kind].get(name)
 
     def _check_change(self, offset, change):
@@ -124,5 +126,5 @@
             return "snapshot", msgspec.convert(body["snapshot"], View)
         return "change", msgspec.convert(body["change"], Change)
     except (msgspec.ValidationError, KeyError, TypeError):
-        # Streams of other users of the log, or of versions to come.
+        # Other users of the log and later versions write records of other forms.
         return "other", None
--- a/packages/valeweir/src/valeweir/exceptions.py
+++ b/packages/valeweir/src/valeweir/exceptions.py
@@ -1,30 +1,30 @@
-"""The one exception tree.
+"""The exceptions of valeweir.
 
-Expected outcomes are values, not exceptions. What stands here is raised only
-where the process cannot go on, or where a caller of the tools made a mistake.
+Expected outcomes are return values, not exceptions. These exceptions are raised only
+if the process cannot continue, or if a caller of the tools made a mistake.
 """
 
 
 class ValeweirError(Exception):
-    """Base of every error that valeweir raises."""
+    """Base class of every error that valeweir raises."""
 
 
 class SettingsError(ValeweirError):
-    """The settings file cannot be used; ``faults`` lists every reason."""
+    """The settings file is unreadable or invalid; ``faults`` lists every reason."""
 
     def __init__(self, path, faults):
-        super().__init__(f"{path}: {len(faults)} fault(s) in the settings")
+        super().__init__(f"{path}: the settings have {len(faults)} fault(s)")
         self.path = path
         self.faults = faults
 
 
 class InvariantError(ValeweirError):
-    """A promise that the code relies on does not hold; the process must stop."""
+    """An invariant does not hold; the process must stop."""
 
 
 class PlatformUnavailable(ValeweirError):
-    """A platform service gave no usable answer."""
+    """A platform service returned no usable response."""
 
 
 class AppendUnsettled(PlatformUnavailable):
-    """An append may or may not have taken effect."""
+    """It is unknown whether an append to the log took effect."""
--- a/packages/valeweir/src/valeweir/logs.py
+++ b/packages/valeweir/src/valeweir/logs.py
@@ -1,4 +1,4 @@
-"""Set-up of the structured log: one line per decision or change of state."""
+"""Configures the structured log: one line for each decision or state change."""
 
 import sys
 
@@ -24,7 +24,7 @@
 
 
 def prepare_logs(form="json", level="INFO"):
-    """Send log lines to standard error as ``json`` or ``text``."""
+    """Write log lines to standard error as ``json`` or ``text``."""
     logger.remove()
     if form == "json":
         logger.add(_write_json, level=level)
--- a/packages/valeweir/src/valeweir/metrics.py
+++ b/packages/valeweir/src/valeweir/metrics.py
@@ -1,4 +1,4 @@
-"""Every metric of a daemon, under names that the field expects."""
+"""The Prometheus metrics of a router, under conventional names."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
--- a/packages/valeweir/src/valeweir/resources.py
+++ b/packages/valeweir/src/valeweir/resources.py
@@ -1,4 +1,4 @@
-"""Resources that operators declare, and how changes to them are written."""
+"""Resources that operators declare, and the changes to them in the log."""
 
 from typing import Annotated, Literal, NamedTuple, NotRequired, TypedDict
 
@@ -107,10 +107,11 @@
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
-    """A change as it stands on the log.
+    """A change to a resource, as stored in the log.
 
-    ``base`` is the version the author saw (0 for a new resource); ``spec`` is
-    None for a deletion. ``author`` names the key that asked, for the audit.
+    ``base`` is the version that the change is based on (0 for a new resource).
+    ``spec`` is None for a deletion. ``author`` names the key that made the change,
+    for the audit.
     """
 
     id: str
@@ -123,7 +124,7 @@
 
 
 class Resource(NamedTuple):
-    """A resource in force; ``version`` is the offset of its last change."""
+    """A current resource; ``version`` is the offset of its last change."""
 
     kind: str
     name: str
@@ -135,7 +136,7 @@
 
 
 def check_spec(kind, spec):
-    """Return what is wrong with ``spec``, or None."""
+    """Return the first error in ``spec`` as text, or None if it is valid."""
     try:
         msgspec.convert(spec, SPECS[kind])
     except msgspec.ValidationError as exc:
--- a/packages/valeweir/src/valeweir/servers.py
+++ b/packages/valeweir/src/valeweir/servers.py
@@ -1,8 +1,9 @@
-"""An HTTP server for handlers that take a `Request` and write to a `ResponseWriter`.
+"""An HTTP server for handlers that read a `Request` and use a `ResponseWriter`.
 
-Thin over cheroot: one thread per connection, written straight down. Adds what
-a router needs: uniform errors with an outcome header, strict lengths, a body
-that must be whole, and a view of whether the client is still there.
+A thin layer over cheroot with one thread per active connection and blocking handlers.
+It adds what a router needs: uniform errors with an outcome header, strict checks of
+the body length, rejection of incomplete bodies, and a check whether the client is
+still connected.
 """
 
 import select
@@ -23,7 +24,7 @@
 
 
 class Request(NamedTuple):
-    """One HTTP request, its body read whole."""
+    """An HTTP request with its complete body."""
 
     method: str
     path: str
@@ -34,7 +35,7 @@
 
 
 class RequestBodyError(Exception):
-    """The body cannot be read whole; the connection has to be closed."""
+    """The request body cannot be read completely; the connection must be closed."""
 
     def __init__(self, status, text):
         super().__init__(text)
@@ -43,14 +44,14 @@
 
 
 class ResponseWriter:
-    """Where a handler writes its answer."""
+    """Writes the response to one request."""
 
     def __init__(self, req):
         self._req = req
         self.started = False
 
     def send(self, status, headers, body):
-        """Send a whole answer with its length."""
+        """Send a complete response with its Content-Length."""
         self._start(status, headers)
         self._req.outheaders.append((b"Content-Length", str(len(body)).encode()))
         self._req.ensure_headers_sent()
@@ -58,44 +59,44 @@
             self._req.write(body)
 
     def send_json(self, status, value, headers=(), kind="application/json"):
-        """Send a value as JSON."""
+        """Send a response with ``value`` as its JSON body."""
         body = msgspec.json.encode(value)
         self.send(status, [("Content-Type", kind), *headers], body)
 
     def start_stream(self, status, headers):
-        """Send the head of an answer whose length is not known."""
+        """Send the status line and headers of a response of unknown length."""
         self._start(status, headers)
         self._req.ensure_headers_sent()
 
     def write(self, part):
-        """Send a part of a stream; raises OSError where the client is gone."""
+        """Send a part of a stream; raise OSError if the client is disconnected."""
         self._req.write(part)
 
     def cut(self):
-        """End a stream so that the client sees it is not whole."""
+        """End a stream without its last chunk, so the client sees it is incomplete."""
         self._req.chunked_write = False
         self._req.close_connection = True
 
     def drop(self):
-        """Close the connection without an answer."""
+        """Close the connection without a response."""
         self.started = True
         self._req.sent_headers = True
         self.cut()
 
     def close(self):
-        """Close the connection after this answer."""
+        """Close the connection after this response."""
         self._req.close_connection = True
 
     def is_disconnected(self):
         """Return whether the client has closed its side of the connection."""
         sock = self._req.conn.socket
         try:
-            # Not select(), which takes no descriptor from 1,024 on.
+            # poll() is used because select() fails for descriptors from 1,024 on.
             if not _is_readable(sock):
                 return False
             if not hasattr(sock, "pending"):
                 return sock.recv(1, socket.MSG_PEEK) == b""
-            # TLS sockets cannot be peeked at; writes will tell.
+            # TLS sockets do not support MSG_PEEK; a later write detects the close.
             return False
         except (OSError, ValueError):
             return True
@@ -110,10 +111,10 @@
 
 
 class _HTTPRequest(cheroot_server.HTTPRequest):
-    """cheroot's parser, with errors in our form."""
+    """cheroot's request parser with JSON error responses."""
 
     def simple_response(self, status, msg=""):
-        """Answer what the parser refuses: nothing of it has run."""
+        """Send the error response to a rejected request, which has not run."""
         code = str(status)[:3]
         text = msg or str(status)[4:]
         body = msgspec.json.encode(
@@ -138,7 +139,7 @@
 
 
 class Server(cheroot_server.HTTPServer):
-    """cheroot's server with a pool of threads that grows when it must."""
+    """cheroot's server with a thread pool that grows on demand."""
 
     ConnectionClass = _HTTPConnection
     keep_alive_conn_limit = 10_000
@@ -153,17 +154,17 @@
         self._threads_needed = threading.Event()
 
     def start_threads(self):
-        """Bind, then serve in threads of their own."""
+        """Bind the socket and start the threads that serve and grow the pool."""
         self.prepare()
         for name, run in (("serve", self.serve), ("grow", self._grow_pool)):
             threading.Thread(target=run, name=name, daemon=True).start()
 
     def prepare(self):
-        """Bind; accept all that wait whenever one does.
+        """Bind the socket; accept all pending connections in each loop turn.
 
-        cheroot accepts one connection for each turn of its loop. With many
-        threads at work a turn takes tens of milliseconds, and connections
-        would wait until their clients have given up.
+        cheroot accepts one connection in each turn of its loop. With many busy
+        threads a turn takes tens of milliseconds, and connections would wait until
+        their clients time out.
         """
         super().prepare()
         manager = self._connections
@@ -181,12 +182,12 @@
         manager._from_server_socket = accept_pending
 
     def check_threads(self):
-        """Ask for more threads when few are idle."""
+        """Request more threads if few are idle."""
         if self.requests.idle < _MIN_IDLE_THREAD_COUNT:
             self._threads_needed.set()
 
     def error_log(self, msg="", level=20, traceback=False):
-        """Send cheroot's complaints to our log."""
+        """Write cheroot's errors to the log."""
         if level >= 40:
             logger.opt(exception=traceback).error("http server: {}", msg)
 
@@ -194,13 +195,13 @@
         while self.ready:
             if self._threads_needed.wait(0.5):
                 self._threads_needed.clear()
-                # cheroot waits a tenth of a second for each batch to start.
+                # cheroot waits 0.1 s for each batch to start, so batches are large.
                 running = len(self.requests._threads)
                 try:
                     self.requests.grow(max(_MIN_GROWTH_COUNT, running // 2))
                 except RuntimeError as exc:
-                    # The host gives no more threads now; those there go on.
-                    logger.error("no more threads than {}: {}", running, exc)
+                    # The host cannot start more threads now; the running ones continue.
+                    logger.error("cannot start more than {} threads: {}", running, exc)
 
 
 def _is_readable(sock):
@@ -223,9 +224,9 @@
     Parameters
     ----------
     address : str
-        ``IP:PORT``; port 0 takes any free one, see ``server.bind_addr``.
+        ``IP:PORT``; port 0 binds a free port, see ``server.bind_addr``.
     on_rejection : callable
-        Told the code of each request that the parser refuses.
+        Called with the error code of each request that the parser rejects.
     """
     host, _, port = address.rpartition(":")
 
@@ -243,7 +244,7 @@
 
 
 def set_tls(server, certificate, key):
-    """Serve TLS with a certificate and key from files."""
+    """Enable TLS with a certificate and key from files."""
     from cheroot.ssl.builtin import BuiltinSSLAdapter
 
     server.ssl_adapter = BuiltinSSLAdapter(certificate, key)
@@ -267,13 +268,14 @@
         for name, value in req.inheaders.items()
     }
     if "Transfer-Encoding" in headers and "Content-Length" in headers:
-        # RFC 9112, 6.3: two lengths may be an attempt at request smuggling.
+        # RFC 9112, 6.3: both headers together may be request smuggling.
         raise RequestBodyError(
-            "400 Bad Request", "both Content-Length and Transfer-Encoding"
+            "400 Bad Request",
+            "both Content-Length and Transfer-Encoding",
         )
     path = unquote(req.path.decode("latin-1"))
     query_text = (req.qs or b"").decode("latin-1")
-    # As it was sent: what goes on to an upstream must not be decoded anew.
+    # The target is kept undecoded, as it is forwarded to an upstream.
     target = req.uri.decode("latin-1")
     query = {k: v[-1] for k, v in parse_qs(query_text).items()}
     body = _read_body(req, headers)
@@ -288,12 +290,16 @@
         body = req.rfile.read() if req.chunked_read else req.rfile.read(length)
     except cheroot_server.errors.MaxSizeExceeded:
         raise RequestBodyError(
-            "413 Request Entity Too Large", "the body is too large"
+            "413 Request Entity Too Large", "the request body is too large"
         ) from None
     except (OSError, ValueError) as exc:
-        raise RequestBodyError("400 Bad Request", f"the body stopped: {exc}") from exc
+        raise RequestBodyError(
+            "400 Bad Request", f"cannot read the request body: {exc}"
+        ) from exc
     if not req.chunked_read and len(body) != length:
-        raise RequestBodyError("400 Bad Request", "the body stopped before its length")
+        raise RequestBodyError(
+            "400 Bad Request", "the request body is shorter than its Content-Length"
+        )
     return body
 
 
--- a/packages/valeweir/src/valeweir/settings.py
+++ b/packages/valeweir/src/valeweir/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon: JSON with comments, checked whole before use."""
+"""Settings of a router: JSON with comments, validated completely before use."""
 
 import copy
 import os
@@ -20,7 +20,7 @@
 
 
 class CallersSettings(TypedDict, total=False):
-    """The port for callers and its limits. Sizes in bytes, times in seconds."""
+    """The port for callers and its limits. Sizes are in bytes, times in seconds."""
 
     address: Address
     threads: Count
@@ -48,7 +48,7 @@
 
 
 class Seed(TypedDict):
-    """A router to greet before the membership list is known."""
+    """A router to contact before the membership list has been read."""
 
     host: Name
     domain: Name
@@ -56,10 +56,10 @@
 
 
 class FleetSettings(TypedDict, total=False):
-    """Traffic between routers. Times in seconds, rates in bytes a second.
+    """Traffic between routers. Times are in seconds, rates in bytes per second.
 
     ``public_key`` and ``secret_key`` are CURVE keys (Z85); the fleet's
-    ``allowed_keys`` are the public keys of daemons that may connect.
+    ``allowed_keys`` are the public keys of routers that may connect.
     """
 
     address: Address
@@ -74,7 +74,7 @@
 
 
 class PlatformSettings(TypedDict, total=False):
-    """Where the platform's services are."""
+    """The URLs of the platform's services; times are in seconds."""
 
     log: Url
     membership: Url
@@ -83,7 +83,7 @@
 
 
 class SharingSettings(TypedDict, total=False):
-    """How capacity is shared; ``slack`` and bonuses in mean requests."""
+    """Sharing of capacity; ``slack`` and ``class_bonus`` are in mean requests."""
 
     mode: Literal["leases", "static"]
     slack: Annotated[float, msgspec.Meta(ge=0)]
@@ -96,21 +96,21 @@
 
 
 class StopSettings(TypedDict, total=False):
-    """A planned stop: wait for the balancer, then for requests in flight."""
+    """A planned stop: wait for the load balancer, then for requests in flight."""
 
     balancer_wait: Annotated[float, msgspec.Meta(ge=0)]
     limit: Seconds
 
 
 class LogSettings(TypedDict, total=False):
-    """The daemon's log lines."""
+    """Format and level of the log."""
 
     form: Literal["json", "text"]
     level: Literal["DEBUG", "INFO", "WARNING", "ERROR"]
 
 
 class Settings(TypedDict):
-    """One daemon's settings file."""
+    """The settings file of a router."""
 
     host: Name
     domain: Name
@@ -124,14 +124,14 @@
 
 
 class Fault(NamedTuple):
-    """One thing wrong in a settings file; ``line`` is 0 where unknown."""
+    """An error in a settings file; ``line`` is 0 if unknown."""
 
     path: str
     line: int
     text: str
 
     def __str__(self):
-        """Show the fault the way compilers do."""
+        """Return the fault as ``line N, PATH: TEXT``."""
         place = f"line {self.line}, " if self.line else ""
         return f"{place}{self.path}: {self.text}"
 
@@ -183,12 +183,12 @@
 
 
 def load_settings(path, environ=os.environ):
-    """Read, check and complete a settings file.
+    """Read and validate a settings file; fill in defaults and secrets.
 
     Raises
     ------
     SettingsError
-        With every fault, each named by path and line.
+        With every fault, each with its path and line.
     """
     text = _read(path)
     try:
@@ -212,7 +212,7 @@
 
 
 def prepare_settings(data, environ=os.environ):
-    """Fill defaults and secrets from the environment into checked ``data``."""
+    """Return valid ``data`` with defaults and the environment's secrets."""
     cfg = copy.deepcopy(DEFAULTS)
     for name, value in data.items():
         if isinstance(value, dict):
@@ -226,7 +226,7 @@
 
 
 def get_schema():
-    """Return the JSON schema of a settings file; unknown keys are refused."""
+    """Return the JSON schema of a settings file; it rejects unknown keys."""
     schema = msgspec.json.schema(Settings)
     for name, definition in schema["$defs"].items():
         if definition.get("type") != "object":
@@ -261,7 +261,7 @@
 
 
 def _find_line(path, text):
-    """Find the line of a key by following the names of its path in order."""
+    """Find the line of a key by a search for each name of its path in order."""
     position = 0
     found = False
     for part in path:
@@ -281,11 +281,11 @@
     fleet = {**DEFAULTS["fleet"], **data["fleet"]}
     if fleet["lease"] < 6 * fleet["interval"]:
         path = ["fleet", "lease"]
-        message = "a lease must last at least six intervals"
+        message = "lease must be at least six times the interval"
         faults.append(Fault("$.fleet.lease", _find_line(path, text), message))
     for section in ("callers", "admin"):
         part = data[section]
         if ("certificate" in part) != ("key" in part):
-            message = "certificate and key go together"
+            message = "certificate and key must be set together"
             faults.append(Fault(f"$.{section}", _find_line([section], text), message))
     return faults
--- a/packages/valeweir/src/valeweir/timers.py
+++ b/packages/valeweir/src/valeweir/timers.py
@@ -1,4 +1,4 @@
-"""Clocks and the timer service that parts subscribe to."""
+"""Clocks, and a service that calls functions at intervals."""
 
 import functools
 import heapq
@@ -9,10 +9,10 @@
 
 from loguru import logger
 
-# Returns seconds on a clock that goes on while the process or host is paused.
-# ``CLOCK_BOOTTIME`` also counts suspended time, and no one can set it, so a jump of the
-# wall clock neither lapses nor extends a lease. A partial has less overhead than a
-# function, and it is read all the time.
+# Returns seconds on a clock that continues while the process or host is paused.
+# ``CLOCK_BOOTTIME`` includes suspended time and cannot be set, so a jump of the wall
+# clock neither expires nor extends a lease. A partial is used because it has less
+# overhead than a function and the clock is read very often.
 get_lease_time = functools.partial(time.clock_gettime, time.CLOCK_BOOTTIME)
 
 
@@ -23,7 +23,7 @@
 
 
 class Subscription:
-    """One part's standing order with the timer service."""
+    """A function that the timer service calls at intervals."""
 
     def __init__(self, name, interval, action):
         self.name = name
@@ -32,7 +32,7 @@
         self.cancelled = False
 
     def cancel(self):
-        """Stop further calls; one that is running finishes."""
+        """Prevent further calls; a running call finishes."""
         self.cancelled = True
 
 
@@ -42,7 +42,7 @@
     Parameters
     ----------
     clock : callable
-        Returns the time in seconds; tests pass a fake and call ``run_due``.
+        Returns the time in seconds. Tests pass a fake and call ``run_due``.
     """
 
     def __init__(self, clock=get_lease_time):
@@ -58,8 +58,8 @@
         Parameters
         ----------
         interval : callable or float
-            A callable is asked anew before each wait, so a period may adapt.
-            None gives a single call.
+            A callable is called before each wait, so the interval may change.
+            None means a single call.
         """
         sub = Subscription(name, interval, action)
         first = delay if delay is not None else _get_wait(interval)
@@ -69,7 +69,7 @@
         return sub
 
     def run_due(self):
-        """Run what is due; return seconds until the next entry, or None."""
+        """Run all due actions; return the seconds until the next one, or None."""
         while True:
             with self._changed:
                 if not self._entries:
@@ -86,7 +86,7 @@
                     self._push(sub, self.clock() + _get_wait(sub.interval))
 
     def run(self):
-        """Serve subscriptions until ``stop``; the body of the timer thread."""
+        """Run due actions until ``stop`` is called; the target of the timer thread."""
         while not self._stopped:
             wait = self.run_due()
             with self._changed:
@@ -95,13 +95,13 @@
                 self._changed.wait(wait if wait is None else min(wait, 1.0))
 
     def start(self):
-        """Run in a thread of its own."""
+        """Start a thread that runs ``run``, and return it."""
         thread = threading.Thread(target=self.run, name="timers", daemon=True)
         thread.start()
         return thread
 
     def stop(self):
-        """End ``run``."""
+        """Make ``run`` return."""
         with self._changed:
             self._stopped = True
             self._changed.notify()
@@ -118,5 +118,5 @@
     try:
         sub.action()
     except Exception:
-        # One part's fault must not silence the timers of all the others.
+        # A failed action must not stop the other timers.
         logger.exception("timer {} failed", sub.name)
