--- a/packages/valeweir_operators/src/valeweir_operators/access.py
+++ b/packages/valeweir_operators/src/valeweir_operators/access.py
@@ -40,19 +40,19 @@
         return None
     if "partner" in spec:
         return spec["partner"]
-    owner = {"shares": ("client-accounts", "account")}.get(
+    reference = {"shares": ("client-accounts", "account")}.get(
         kind, ("upstreams", "upstream")
     )
-    res = configuration.get(owner[0], spec.get(owner[1], ""))
+    res = configuration.get(reference[0], spec.get(reference[1], ""))
     return res.spec["partner"] if res else None
 
 
-def may_see(operator, partner):
+def can_view(operator, partner):
     """Return whether the operator may see a resource of ``partner``."""
     return operator.partner == ROOT or operator.partner == partner
 
 
-def may_write(operator, kind):
+def can_change(operator, kind):
     """Return whether the operator's role allows changes of ``kind``."""
     needed = "admin" if kind == "partners" else "operator"
     return _ROLES.index(operator.role) >= _ROLES.index(needed)
--- a/packages/valeweir_operators/src/valeweir_operators/api.py
+++ b/packages/valeweir_operators/src/valeweir_operators/api.py
@@ -13,17 +13,17 @@
 from valeweir.resources import KINDS, Change, check_spec
 from valeweir.settings import Name
 
-from .access import find_operator, get_partner, may_see, may_write
+from .access import can_change, can_view, find_operator, get_partner
 from .documents import get_depth, make_document, make_openapi, merge_patch
 from .problems import Problem, send_problem
 
 _MAX_DEPTH = 16
-_MAX_DOCUMENT = 256 << 10
-_PAGE = 500
-_SETTLE_SECONDS = 10.0
-_WATCH_STEP = 0.25
-_WATCH_SECONDS = 300.0
-_BOOKMARK_SECONDS = 5.0
+_MAX_DOCUMENT_BYTES = 256 << 10
+_MAX_PAGE_ITEM_COUNT = 500
+_SUBMIT_TIMEOUT_S = 10.0
+_WATCH_INTERVAL_S = 0.25
+_MAX_WATCH_S = 300.0
+_BOOKMARK_INTERVAL_S = 5.0
 
 
 class Api(NamedTuple):
@@ -49,38 +49,38 @@
     name: str
 
 
-def handle(api, request, reply):
+def handle(api, request, response):
     """Serve one operator's request."""
     if request.path == "/v1/openapi.json":
-        reply.send_json(200, make_openapi(__version__))
+        response.send_json(200, make_openapi(__version__))
         return
     with api.lock:
         operator = find_operator(request.headers, api.configuration, api.root_hash)
     if operator is None:
         problem = Problem(401, "unknown-key", "send Authorization: Bearer KEY")
-        send_problem(reply, problem)
+        send_problem(response, problem)
         return
     if request.path == "/v1/fleet" and request.method == "GET":
-        reply.send_json(200, api.get_fleet())
+        response.send_json(200, api.get_fleet())
         return
     target = _parse_target(request.path)
     if isinstance(target, Problem):
-        send_problem(reply, target)
+        send_problem(response, target)
         return
-    problem = _serve(api, operator, target, request, reply)
+    problem = _dispatch(api, operator, target, request, response)
     if problem is not None:
-        send_problem(reply, problem)
+        send_problem(response, problem)
 
 
-def _serve(api, operator, target, request, reply):
+def _dispatch(api, operator, target, request, response):
     if request.method == "GET" and target.name:
-        return _get(api, operator, target, reply)
+        return _get_resource(api, operator, target, response)
     if request.method == "GET" and request.query.get("watch"):
-        return _watch(api, operator, target, request, reply)
+        return _watch_resources(api, operator, target, request, response)
     if request.method == "GET":
-        return _list(api, operator, target, request, reply)
+        return _list_resources(api, operator, target, request, response)
     if request.method in ("PUT", "PATCH", "DELETE") and target.name:
-        return _write(api, operator, target, request, reply)
+        return _write_resource(api, operator, target, request, response)
     return Problem(405, "bad-method", f"{request.method} is not served here")
 
 
@@ -100,7 +100,7 @@
 # -- reading -----------------------------------------------------------------
 
 
-def _find(api, operator, target):
+def _find_visible(api, operator, target):
     """Return the resource if it is there and may be seen."""
     res = api.configuration.get(target.kind, target.name)
     if res is None or not _is_visible(api, operator, res):
@@ -110,108 +110,110 @@
 
 def _is_visible(api, operator, res):
     partner = get_partner(api.configuration, res.kind, res.name, res.spec)
-    return may_see(operator, partner)
+    return can_view(operator, partner)
 
 
-def _get(api, operator, target, reply):
+def _get_resource(api, operator, target, response):
     with api.lock:
-        res = _find(api, operator, target)
+        res = _find_visible(api, operator, target)
         document = make_document(res, api.get_status(res)) if res else None
     if document is None:
         return Problem(404, "not-found", f"no {target.kind} {target.name}")
-    reply.send_json(200, document, [("ETag", f'"{res.version}"')])
+    response.send_json(200, document, [("ETag", f'"{res.version}"')])
     return None
 
 
-def _list(api, operator, target, request, reply):
+def _list_resources(api, operator, target, request, response):
     after = request.query.get("after", "")
-    limit = request.query.get("limit", str(_PAGE))
-    if not limit.isdigit() or not 0 < int(limit) <= _PAGE:
-        return Problem(400, "bad-limit", f"limit is a number from 1 to {_PAGE}")
+    limit = request.query.get("limit", str(_MAX_PAGE_ITEM_COUNT))
+    if not limit.isdigit() or not 0 < int(limit) <= _MAX_PAGE_ITEM_COUNT:
+        return Problem(
+            400, "bad-limit", f"limit is a number from 1 to {_MAX_PAGE_ITEM_COUNT}"
+        )
     with api.lock:
         names = sorted(api.configuration.resources[target.kind])
-        found = [api.configuration.get(target.kind, n) for n in names if n > after]
-        found = [r for r in found if _is_visible(api, operator, r)]
-        page = found[: int(limit)]
+        resources = [api.configuration.get(target.kind, n) for n in names if n > after]
+        resources = [r for r in resources if _is_visible(api, operator, r)]
+        page = resources[: int(limit)]
         items = [make_document(r, api.get_status(r)) for r in page]
         version = api.configuration.offset
-    more = page[-1].name if len(found) > len(page) else None
-    reply.send_json(200, {"version": version, "items": items, "next": more})
+    next_name = page[-1].name if len(resources) > len(page) else None
+    response.send_json(200, {"version": version, "items": items, "next": next_name})
     return None
 
 
-def _watch(api, operator, target, request, reply):
+def _watch_resources(api, operator, target, request, response):
     """Stream changes after a version, one JSON object a line."""
     since = request.query.get("from", "")
     with api.lock:
         offset = api.configuration.offset
     if since and (not since.isdigit() or int(since) > offset):
         return Problem(410, "too-old", "list again and watch from its version")
-    seconds = request.query.get("seconds", str(int(_WATCH_SECONDS)))
-    if not seconds.isdigit() or not 0 < int(seconds) <= _WATCH_SECONDS:
-        return Problem(400, "bad-seconds", f"1 to {_WATCH_SECONDS:g}")
-    seen = int(since) if since else offset
+    seconds = request.query.get("seconds", str(int(_MAX_WATCH_S)))
+    if not seconds.isdigit() or not 0 < int(seconds) <= _MAX_WATCH_S:
+        return Problem(400, "bad-seconds", f"1 to {_MAX_WATCH_S:g}")
+    start_offset = int(since) if since else offset
     with api.lock:
-        known = {
+        seen_versions = {
             r.name: r.version
             for r in api.configuration.resources[target.kind].values()
-            if r.version < seen and _is_visible(api, operator, r)
+            if r.version < start_offset and _is_visible(api, operator, r)
         }
-    reply.start_stream(200, [("Content-Type", "application/x-ndjson")])
+    response.start_stream(200, [("Content-Type", "application/x-ndjson")])
     deadline = time.monotonic() + int(seconds)
-    bookmark = 0.0
-    while time.monotonic() < deadline and not reply.is_disconnected():
-        events, offset = _get_events(api, operator, target.kind, known)
-        if not events and time.monotonic() >= bookmark:
+    next_bookmark_time = 0.0
+    while time.monotonic() < deadline and not response.is_disconnected():
+        events, offset = _get_events(api, operator, target.kind, seen_versions)
+        if not events and time.monotonic() >= next_bookmark_time:
             events = [{"type": "bookmark", "version": offset}]
         if events:
-            bookmark = time.monotonic() + _BOOKMARK_SECONDS
+            next_bookmark_time = time.monotonic() + _BOOKMARK_INTERVAL_S
             lines = b"".join(msgspec.json.encode(e) + b"\n" for e in events)
             try:
-                reply.write(lines)
+                response.write(lines)
             except OSError:
                 return None
-        time.sleep(_WATCH_STEP)
+        time.sleep(_WATCH_INTERVAL_S)
     return None
 
 
-def _get_events(api, operator, kind, known):
-    """Return what changed against ``known`` versions, which are brought up."""
+def _get_events(api, operator, kind, seen_versions):
+    """Return what changed against ``seen_versions``, which are brought up."""
     events = []
     with api.lock:
         offset = api.configuration.offset
-        now = {
+        current = {
             name: res
             for name, res in api.configuration.resources[kind].items()
             if _is_visible(api, operator, res)
         }
-        for name, res in now.items():
-            if known.get(name) != res.version:
+        for name, res in current.items():
+            if seen_versions.get(name) != res.version:
                 document = make_document(res, api.get_status(res))
                 events.append({"type": "changed", "version": offset, **document})
-                known[name] = res.version
-        for name in [n for n in known if n not in now]:
+                seen_versions[name] = res.version
+        for name in [n for n in seen_versions if n not in current]:
             events.append(
                 {"type": "deleted", "kind": kind, "name": name, "version": offset}
             )
-            del known[name]
+            del seen_versions[name]
     return events, offset
 
 
 # -- writing -----------------------------------------------------------------
 
 
-def _write(api, operator, target, request, reply):
-    if not may_write(operator, target.kind):
+def _write_resource(api, operator, target, request, response):
+    if not can_change(operator, target.kind):
         return Problem(403, "role", f"a {operator.role} may not change {target.kind}")
     change = _prepare_change(api, operator, target, request)
     if isinstance(change, Problem):
         return change
     if request.query.get("dry-run"):
-        reply.send_json(200, {"dry_run": True, "spec": change.spec})
+        response.send_json(200, {"dry_run": True, "spec": change.spec})
         return None
     try:
-        verdict = api.submit(change, _SETTLE_SECONDS)
+        verdict = api.submit(change, _SUBMIT_TIMEOUT_S)
     except PlatformUnavailable as exc:
         text = f"not accepted, nothing changed: {exc}"
         return Problem(503, "log-unavailable", text, change_id=change.id)
@@ -220,37 +222,37 @@
         return Problem(504, "unknown", text, change_id=change.id)
     if not verdict.accepted:
         return Problem(409, verdict.why, "another change came first", verdict.version)
-    return _answer_write(api, target, change, verdict, reply)
+    return _send_write_response(api, target, change, verdict, response)
 
 
-def _answer_write(api, target, change, verdict, reply):
+def _send_write_response(api, target, change, verdict, response):
     if change.spec is None:
-        reply.send_json(200, {"deleted": target.name, "version": verdict.version})
+        response.send_json(200, {"deleted": target.name, "version": verdict.version})
         return None
     with api.lock:
         res = api.configuration.get(target.kind, target.name)
         document = make_document(res, api.get_status(res)) if res else {}
     headers = [("ETag", f'"{verdict.version}"')]
-    reply.send_json(201 if change.base == 0 else 200, document, headers)
+    response.send_json(201 if change.base == 0 else 200, document, headers)
     return None
 
 
 def _prepare_change(api, operator, target, request):
     """Return the `Change` to append, or a `Problem`."""
     with api.lock:
-        now = api.configuration.get(target.kind, target.name)
-        visible = _find(api, operator, target)
-        if now is not None and visible is None:
+        current = api.configuration.get(target.kind, target.name)
+        visible = _find_visible(api, operator, target)
+        if current is not None and visible is None:
             return Problem(404, "not-found", f"no {target.kind} {target.name}")
-        if now is None and request.method != "PUT":
+        if current is None and request.method != "PUT":
             return Problem(404, "not-found", f"no {target.kind} {target.name}")
-        base = _get_base(request, now)
+        base = _get_base_version(request, current)
         if isinstance(base, Problem):
             return base
-        spec = _get_spec(request, now)
+        spec = _get_spec(request, current)
         problem = spec if isinstance(spec, Problem) else None
         if problem is None and spec is not None:
-            problem = _check(api, operator, target, spec)
+            problem = _check_change_spec(api, operator, target, spec)
         if problem is None and spec is None:
             problem = _check_deletable(api, target)
     if problem is not None:
@@ -266,12 +268,12 @@
     )
 
 
-def _get_base(request, now):
-    version = now.version if now else 0
-    wanted = request.headers.get("If-Match")
-    if wanted is None:
+def _get_base_version(request, current):
+    version = current.version if current else 0
+    if_match = request.headers.get("If-Match")
+    if if_match is None:
         return version
-    text = wanted.strip('"')
+    text = if_match.strip('"')
     if not text.isdigit():
         return Problem(400, "bad-etag", "If-Match holds a version in quotes")
     if int(text) != version:
@@ -279,11 +281,11 @@
     return version
 
 
-def _get_spec(request, now):
+def _get_spec(request, current):
     if request.method == "DELETE":
         return None
-    if len(request.body) > _MAX_DOCUMENT:
-        return Problem(413, "too-large", f"at most {_MAX_DOCUMENT} bytes")
+    if len(request.body) > _MAX_DOCUMENT_BYTES:
+        return Problem(413, "too-large", f"at most {_MAX_DOCUMENT_BYTES} bytes")
     try:
         body = msgspec.json.decode(request.body, type=dict)
     except (msgspec.MsgspecError, RecursionError) as exc:
@@ -292,19 +294,19 @@
         return Problem(400, "too-deep", f"at most {_MAX_DEPTH} levels")
     unknown = sorted(set(body) - {"spec", "kind", "name", "version", "status"})
     if unknown or not isinstance(body.get("spec"), dict):
-        named = f"$.{unknown[0]} is not known" if unknown else "$.spec is missing"
-        return Problem(400, "bad-document", named)
+        detail = f"$.{unknown[0]} is not known" if unknown else "$.spec is missing"
+        return Problem(400, "bad-document", detail)
     if request.method == "PATCH":
-        return merge_patch(now.spec, body["spec"])
+        return merge_patch(current.spec, body["spec"])
     return body["spec"]
 
 
-def _check(api, operator, target, spec):
+def _check_change_spec(api, operator, target, spec):
     fault = check_spec(target.kind, spec)
     if fault is not None:
         return Problem(400, "bad-spec", f"$.spec: {fault}")
     partner = get_partner(api.configuration, target.kind, target.name, spec)
-    if partner is None or not may_see(operator, partner):
+    if partner is None or not can_view(operator, partner):
         return Problem(404, "not-found", "the spec refers to what is not there")
     if target.kind != "partners" and api.configuration.get("partners", partner) is None:
         return Problem(404, "not-found", f"no partners {partner}")
@@ -313,14 +315,14 @@
 
 def _check_deletable(api, target):
     """Refuse to delete what other resources refer to."""
-    users = {
+    referrer = {
         "partners": ("client-accounts", "partner"),
         "client-accounts": ("shares", "account"),
         "upstreams": ("planned-changes", "upstream"),
     }.get(target.kind)
-    if users is None:
+    if referrer is None:
         return None
-    for res in api.configuration.resources[users[0]].values():
-        if res.spec.get(users[1]) == target.name:
-            return Problem(409, "in-use", f"{users[0]} {res.name} refers to it")
+    for res in api.configuration.resources[referrer[0]].values():
+        if res.spec.get(referrer[1]) == target.name:
+            return Problem(409, "in-use", f"{referrer[0]} {res.name} refers to it")
     return None
--- a/packages/valeweir_operators/src/valeweir_operators/documents.py
+++ b/packages/valeweir_operators/src/valeweir_operators/documents.py
@@ -41,28 +41,28 @@
 
 def make_openapi(version):
     """Return the OpenAPI document of the resource API."""
-    schemas, parts = msgspec.json.schema_components(
+    schemas, components = msgspec.json.schema_components(
         [SPECS[kind] for kind in KINDS], ref_template="#/components/schemas/{name}"
     )
     paths = {}
     for kind, schema in zip(KINDS, schemas, strict=True):
-        paths[f"/v1/{kind}"] = {"get": _describe(f"List or watch {kind}")}
+        paths[f"/v1/{kind}"] = {"get": _make_operation(f"List or watch {kind}")}
         paths[f"/v1/{kind}/{{name}}"] = {
-            "get": _describe(f"Read one of {kind}"),
-            "put": _describe(f"Create or replace one of {kind}", schema),
-            "patch": _describe(f"Merge-patch one of {kind}", schema),
-            "delete": _describe(f"Delete one of {kind}"),
+            "get": _make_operation(f"Read one of {kind}"),
+            "put": _make_operation(f"Create or replace one of {kind}", schema),
+            "patch": _make_operation(f"Merge-patch one of {kind}", schema),
+            "delete": _make_operation(f"Delete one of {kind}"),
         }
     return {
         "openapi": "3.1.0",
         "info": {"title": "valeweir resource API", "version": version},
         "paths": paths,
-        "components": {"schemas": parts},
+        "components": {"schemas": components},
     }
 
 
-def _describe(summary, schema=None):
-    verb = {
+def _make_operation(summary, schema=None):
+    operation = {
         "summary": summary,
         "responses": {
             "200": {"description": "done"},
@@ -71,5 +71,5 @@
     }
     if schema is not None:
         spec = {"type": "object", "properties": {"spec": schema}, "required": ["spec"]}
-        verb["requestBody"] = {"content": {"application/json": {"schema": spec}}}
-    return verb
+        operation["requestBody"] = {"content": {"application/json": {"schema": spec}}}
+    return operation
--- a/packages/valeweir_operators/src/valeweir_operators/problems.py
+++ b/packages/valeweir_operators/src/valeweir_operators/problems.py
@@ -13,7 +13,7 @@
     change_id: str | None = None
 
 
-def send_problem(reply, problem):
+def send_problem(response, problem):
     """Answer with ``application/problem+json``."""
     body = {
         "type": f"urn:valeweir:problem:{problem.code}",
@@ -25,4 +25,4 @@
         body["version"] = problem.version
     if problem.change_id is not None:
         body["change_id"] = problem.change_id
-    reply.send_json(problem.status, body, kind="application/problem+json")
+    response.send_json(problem.status, body, kind="application/problem+json")
