--- a/packages/valeweir_operators/src/valeweir_operators/__init__.py
+++ b/packages/valeweir_operators/src/valeweir_operators/__init__.py
@@ -1,1 +1,1 @@
-"""Peer: operators, over the resource API."""
+"""The HTTP resource API for operators."""
--- a/packages/valeweir_operators/src/valeweir_operators/access.py
+++ b/packages/valeweir_operators/src/valeweir_operators/access.py
@@ -1,4 +1,4 @@
-"""Who an operator is and what it may see and change."""
+"""Authentication of operators, and which resources they may view and change."""
 
 import hashlib
 import hmac
@@ -9,7 +9,7 @@
 
 
 class Operator(NamedTuple):
-    """An authenticated operator; ``partner`` is `ROOT` for the first key."""
+    """An authenticated operator; ``partner`` is `ROOT` for the key in the settings."""
 
     partner: str
     role: str
@@ -17,7 +17,7 @@
 
 
 def find_operator(headers, configuration, root_hash):
-    """Return the `Operator` whose key the request bears, or None."""
+    """Return the `Operator` of the bearer key in ``headers``, or None."""
     scheme, _, key = headers.get("Authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key:
         return None
@@ -33,7 +33,7 @@
 
 
 def get_partner(configuration, kind, name, spec):
-    """Return the partner that a resource belongs to, or None where unknown."""
+    """Return the partner that a resource belongs to, or None if unknown."""
     if kind == "partners":
         return name
     if spec is None:
@@ -48,11 +48,11 @@
 
 
 def can_view(operator, partner):
-    """Return whether the operator may see a resource of ``partner``."""
+    """Return whether the operator may view a resource of ``partner``."""
     return operator.partner == ROOT or operator.partner == partner
 
 
 def can_change(operator, kind):
-    """Return whether the operator's role allows changes of ``kind``."""
+    """Return whether the operator's role allows changes to resources of ``kind``."""
     needed = "admin" if kind == "partners" else "operator"
     return _ROLES.index(operator.role) >= _ROLES.index(needed)
--- a/packages/valeweir_operators/src/valeweir_operators/api.py
+++ b/packages/valeweir_operators/src/valeweir_operators/api.py
@@ -1,6 +1,7 @@
 """The resource API: list, get, put, patch, delete and watch.
 
-A write is accepted once it stands on the platform's log and has been folded.
+A write is accepted when it has been appended to the platform's log and applied to the
+configuration.
 """
 
 import secrets
@@ -27,11 +28,11 @@
 
 
 class Api(NamedTuple):
-    """What the API needs from its daemon.
+    """The state and functions of the router that the API uses.
 
-    ``submit(change, timeout)`` appends a change and returns its verdict;
-    ``get_status(resource)`` returns the status part of a document;
-    ``get_fleet()`` the daemon's view of the fleet.
+    ``submit(change, timeout)`` appends a change and returns its verdict.
+    ``get_status(resource)`` returns the status part of a document.
+    ``get_fleet()`` returns the router's view of the fleet.
     """
 
     configuration: object
@@ -43,14 +44,14 @@
 
 
 class Target(NamedTuple):
-    """What a request is about."""
+    """The resource kind and name in the path; ``name`` is empty for a list."""
 
     kind: str
     name: str
 
 
 def handle(api, request, response):
-    """Serve one operator's request."""
+    """Handle a request of an operator."""
     if request.path == "/v1/openapi.json":
         response.send_json(200, make_openapi(__version__))
         return
@@ -81,13 +82,13 @@
         return _list_resources(api, operator, target, request, response)
     if request.method in ("PUT", "PATCH", "DELETE") and target.name:
         return _write_resource(api, operator, target, request, response)
-    return Problem(405, "bad-method", f"{request.method} is not served here")
+    return Problem(405, "bad-method", f"{request.method} is not allowed for this path")
 
 
 def _parse_target(path):
     parts = path.strip("/").split("/")
     if len(parts) not in (2, 3) or parts[0] != "v1" or parts[1] not in KINDS:
-        return Problem(404, "unknown-path", f"nothing is at {path}")
+        return Problem(404, "unknown-path", f"there is no resource at {path}")
     name = parts[2] if len(parts) == 3 else ""
     if name:
         try:
@@ -101,7 +102,7 @@
 
 
 def _find_visible(api, operator, target):
-    """Return the resource if it is there and may be seen."""
+    """Return the resource if it exists and is visible to the operator."""
     res = api.configuration.get(target.kind, target.name)
     if res is None or not _is_visible(api, operator, res):
         return None
@@ -128,7 +129,7 @@
     limit = request.query.get("limit", str(_MAX_PAGE_ITEM_COUNT))
     if not limit.isdigit() or not 0 < int(limit) <= _MAX_PAGE_ITEM_COUNT:
         return Problem(
-            400, "bad-limit", f"limit is a number from 1 to {_MAX_PAGE_ITEM_COUNT}"
+            400, "bad-limit", f"limit must be a number from 1 to {_MAX_PAGE_ITEM_COUNT}"
         )
     with api.lock:
         names = sorted(api.configuration.resources[target.kind])
@@ -143,15 +144,19 @@
 
 
 def _watch_resources(api, operator, target, request, response):
-    """Stream changes after a version, one JSON object a line."""
+    """Stream the changes after a version, one JSON object per line."""
     since = request.query.get("from", "")
     with api.lock:
         offset = api.configuration.offset
     if since and (not since.isdigit() or int(since) > offset):
-        return Problem(410, "too-old", "list again and watch from its version")
+        return Problem(
+            410, "too-old", "list the resources again and watch from that version"
+        )
     seconds = request.query.get("seconds", str(int(_MAX_WATCH_S)))
     if not seconds.isdigit() or not 0 < int(seconds) <= _MAX_WATCH_S:
-        return Problem(400, "bad-seconds", f"1 to {_MAX_WATCH_S:g}")
+        return Problem(
+            400, "bad-seconds", f"seconds must be a number from 1 to {_MAX_WATCH_S:g}"
+        )
     start_offset = int(since) if since else offset
     with api.lock:
         seen_versions = {
@@ -178,7 +183,7 @@
 
 
 def _get_events(api, operator, kind, seen_versions):
-    """Return what changed against ``seen_versions``, which are brought up."""
+    """Return the changes since ``seen_versions``, and update ``seen_versions``."""
     events = []
     with api.lock:
         offset = api.configuration.offset
@@ -215,13 +220,15 @@
     try:
         verdict = api.submit(change, _SUBMIT_TIMEOUT_S)
     except PlatformUnavailable as exc:
-        text = f"not accepted, nothing changed: {exc}"
+        text = f"the change was not accepted, nothing has changed: {exc}"
         return Problem(503, "log-unavailable", text, change_id=change.id)
     if verdict is None:
-        text = "the change may yet take effect; watch for its id or repeat it"
+        text = "the change may still take effect; watch for its id or repeat it"
         return Problem(504, "unknown", text, change_id=change.id)
     if not verdict.accepted:
-        return Problem(409, verdict.why, "another change came first", verdict.version)
+        return Problem(
+            409, verdict.why, "another change was accepted first", verdict.version
+        )
     return _send_write_response(api, target, change, verdict, response)
 
 
@@ -238,7 +245,7 @@
 
 
 def _prepare_change(api, operator, target, request):
-    """Return the `Change` to append, or a `Problem`."""
+    """Return the `Change` to append to the log, or a `Problem`."""
     with api.lock:
         current = api.configuration.get(target.kind, target.name)
         visible = _find_visible(api, operator, target)
@@ -275,9 +282,9 @@
         return version
     text = if_match.strip('"')
     if not text.isdigit():
-        return Problem(400, "bad-etag", "If-Match holds a version in quotes")
+        return Problem(400, "bad-etag", "If-Match must contain a version in quotes")
     if int(text) != version:
-        return Problem(409, "conflict", "another change came first", version)
+        return Problem(409, "conflict", "another change was accepted first", version)
     return version
 
 
@@ -285,16 +292,22 @@
     if request.method == "DELETE":
         return None
     if len(request.body) > _MAX_DOCUMENT_BYTES:
-        return Problem(413, "too-large", f"at most {_MAX_DOCUMENT_BYTES} bytes")
+        return Problem(
+            413, "too-large", f"the document exceeds {_MAX_DOCUMENT_BYTES} bytes"
+        )
     try:
         body = msgspec.json.decode(request.body, type=dict)
     except (msgspec.MsgspecError, RecursionError) as exc:
         return Problem(400, "bad-json", str(exc))
     if get_depth(body) > _MAX_DEPTH:
-        return Problem(400, "too-deep", f"at most {_MAX_DEPTH} levels")
+        return Problem(
+            400, "too-deep", f"the document has more than {_MAX_DEPTH} nested levels"
+        )
     unknown = sorted(set(body) - {"spec", "kind", "name", "version", "status"})
     if unknown or not isinstance(body.get("spec"), dict):
-        detail = f"$.{unknown[0]} is not known" if unknown else "$.spec is missing"
+        detail = (
+            f"$.{unknown[0]} is an unknown field" if unknown else "$.spec is missing"
+        )
         return Problem(400, "bad-document", detail)
     if request.method == "PATCH":
         return merge_patch(current.spec, body["spec"])
@@ -307,14 +320,16 @@
         return Problem(400, "bad-spec", f"$.spec: {fault}")
     partner = get_partner(api.configuration, target.kind, target.name, spec)
     if partner is None or not can_view(operator, partner):
-        return Problem(404, "not-found", "the spec refers to what is not there")
+        return Problem(
+            404, "not-found", "the spec refers to a resource that does not exist"
+        )
     if target.kind != "partners" and api.configuration.get("partners", partner) is None:
         return Problem(404, "not-found", f"no partners {partner}")
     return None
 
 
 def _check_deletable(api, target):
-    """Refuse to delete what other resources refer to."""
+    """Return a `Problem` if other resources refer to the target."""
     referrer = {
         "partners": ("client-accounts", "partner"),
         "client-accounts": ("shares", "account"),
--- a/packages/valeweir_operators/src/valeweir_operators/documents.py
+++ b/packages/valeweir_operators/src/valeweir_operators/documents.py
@@ -1,11 +1,11 @@
-"""Resources as operators see them, and patches to them."""
+"""JSON documents of resources, merge patches and the OpenAPI document."""
 
 import msgspec
 from valeweir.resources import KINDS, SPECS
 
 
 def make_document(res, status):
-    """Return a resource as JSON: spec by operators, status by the system."""
+    """Return a document: ``spec`` is set by operators, ``status`` by the system."""
     return {
         "kind": res.kind,
         "name": res.name,
@@ -18,7 +18,7 @@
 
 
 def merge_patch(target, patch):
-    """Return ``target`` changed by a JSON merge patch (RFC 7396)."""
+    """Return ``target`` with a JSON merge patch applied (RFC 7396)."""
     if not isinstance(patch, dict):
         return patch
     merged = dict(target) if isinstance(target, dict) else {}
@@ -31,7 +31,7 @@
 
 
 def get_depth(value):
-    """Return how deeply a JSON value is nested."""
+    """Return the nesting depth of a JSON value."""
     if isinstance(value, dict):
         return 1 + max((get_depth(v) for v in value.values()), default=0)
     if isinstance(value, list):
--- a/packages/valeweir_operators/src/valeweir_operators/problems.py
+++ b/packages/valeweir_operators/src/valeweir_operators/problems.py
@@ -4,7 +4,7 @@
 
 
 class Problem(NamedTuple):
-    """Why an operator's request was refused."""
+    """The reason for which an operator's request was rejected."""
 
     status: int
     code: str
@@ -14,7 +14,7 @@
 
 
 def send_problem(response, problem):
-    """Answer with ``application/problem+json``."""
+    """Send the problem as ``application/problem+json``."""
     body = {
         "type": f"urn:valeweir:problem:{problem.code}",
         "title": problem.code.replace("-", " "),
