--- a/packages/valeweir/src/valeweir/servers.py
+++ b/packages/valeweir/src/valeweir/servers.py
@@ -72,7 +72,7 @@
         """Send a part of a stream; raise OSError if the client is disconnected."""
         self._req.write(part)
 
-    def cut(self):
+    def abort(self):
         """End a stream without its last chunk, so the client sees it is incomplete."""
         self._req.chunked_write = False
         self._req.close_connection = True
@@ -81,7 +81,7 @@
         """Close the connection without a response."""
         self.started = True
         self._req.sent_headers = True
-        self.cut()
+        self.abort()
 
     def close(self):
         """Close the connection after this response."""
