--- a/packages/valeweir_operators/src/valeweir_operators/problems.py
+++ b/packages/valeweir_operators/src/valeweir_operators/problems.py
@@ -4,7 +4,7 @@
 
 
 class Problem(NamedTuple):
-    """Why an operator's request was refused."""
+    """The reason for which an operator's request was rejected."""
 
     status: int
     code: str
@@ -13,8 +13,8 @@
     change_id: str | None = None
 
 
-def send_problem(reply, problem):
-    """Answer with ``application/problem+json``."""
+def send_problem(response, problem):
+    """Send the problem as ``application/problem+json``."""
     body = {
         "type": f"urn:valeweir:problem:{problem.code}",
         "title": problem.code.replace("-", " "),
@@ -25,4 +25,4 @@
         body["version"] = problem.version
     if problem.change_id is not None:
         body["change_id"] = problem.change_id
-    reply.send_json(problem.status, body, kind="application/problem+json")
+    response.send_json(problem.status, body, kind="application/problem+json")
