--- a/packages/valeweir_router/src/valeweir_router/upstream_exchange.py
+++ b/packages/valeweir_router/src/valeweir_router/upstream_exchange.py
@@ -122,7 +122,7 @@
 
 def _abort_stream(reply, failure):
     if reply.started:
-        reply.cut()
+        reply.abort()
     return failure
 
 
--- a/packages/valeweir_standins/src/valeweir_standins/upstreams.py
+++ b/packages/valeweir_standins/src/valeweir_standins/upstreams.py
@@ -157,7 +157,7 @@
         if switch.happens(switch.faults.cut):
             reply.start_stream(200, headers)
             reply.write(data[: len(data) // 2])
-            reply.cut()
+            reply.abort()
             return
         reply.send(200, headers, data)
 
@@ -168,7 +168,7 @@
         stop_at = len(words) // 2 if switch.happens(switch.faults.cut) else -1
         for number, word in enumerate(words):
             if number == stop_at:
-                reply.cut()
+                reply.abort()
                 return False
             delta = {"index": 0, "delta": {"content": word + " "}}
             reply.write(_make_event({"choices": [delta]}))
