--- a/packages/valeweir/src/valeweir/configuration.py
+++ b/packages/valeweir/src/valeweir/configuration.py
@@ -42,7 +42,7 @@
         self.resources = {kind: {} for kind in KINDS}
         self.verdicts = {}
 
-    def fold(self, offset, change):
+    def apply_change(self, offset, change):
         """Apply the record at ``offset`` and return its `Verdict`.
 
         ``change`` is None for a record without a change. A record that was applied
--- a/packages/valeweir/src/valeweir/exceptions.py
+++ b/packages/valeweir/src/valeweir/exceptions.py
@@ -26,5 +26,5 @@
     """A platform service returned no usable response."""
 
 
-class AppendUnsettled(PlatformUnavailable):
+class AppendOutcomeUnknown(PlatformUnavailable):
     """It is unknown whether an append to the log took effect."""
--- a/packages/valeweir/src/valeweir/logs.py
+++ b/packages/valeweir/src/valeweir/logs.py
@@ -23,7 +23,7 @@
     sys.stderr.buffer.flush()
 
 
-def prepare_logs(form="json", level="INFO"):
+def configure_logging(form="json", level="INFO"):
     """Write log lines to standard error as ``json`` or ``text``."""
     logger.remove()
     if form == "json":
--- a/packages/valeweir_operators/src/valeweir_operators/api.py
+++ b/packages/valeweir_operators/src/valeweir_operators/api.py
@@ -27,7 +27,7 @@
 _BOOKMARK_INTERVAL_S = 5.0
 
 
-class Api(NamedTuple):
+class ApiContext(NamedTuple):
     """The state and functions of the router that the API uses.
 
     ``submit(change, timeout)`` appends a change and returns its verdict.
--- a/packages/valeweir_platform/src/valeweir_platform/adapters.py
+++ b/packages/valeweir_platform/src/valeweir_platform/adapters.py
@@ -8,7 +8,7 @@
 import msgspec
 import urllib3
 from valeweir import metrics
-from valeweir.exceptions import AppendUnsettled, PlatformUnavailable
+from valeweir.exceptions import AppendOutcomeUnknown, PlatformUnavailable
 
 
 class Record(NamedTuple):
@@ -86,11 +86,11 @@
             raise PlatformUnavailable(str(exc)) from exc
         except urllib3.exceptions.HTTPError as exc:
             metrics.platform_errors.labels("log").inc()
-            raise AppendUnsettled(str(exc)) from exc
+            raise AppendOutcomeUnknown(str(exc)) from exc
         if resp.status == 503:
             raise PlatformUnavailable("the log takes no appends")
         if resp.status != 200:
-            raise AppendUnsettled(f"the log answered {resp.status}")
+            raise AppendOutcomeUnknown(f"the log answered {resp.status}")
         return msgspec.json.decode(resp.data)["offset"]
 
     def read(self, offset):
--- a/packages/valeweir_platform/src/valeweir_platform/followers.py
+++ b/packages/valeweir_platform/src/valeweir_platform/followers.py
@@ -10,7 +10,7 @@
 import msgspec
 from loguru import logger
 from valeweir.configuration import Verdict, decode_record
-from valeweir.exceptions import AppendUnsettled, PlatformUnavailable
+from valeweir.exceptions import AppendOutcomeUnknown, PlatformUnavailable
 
 
 class Settled(threading.Event):
@@ -108,7 +108,7 @@
             self._waiting[change.id] = settled
         try:
             self._log.append({"change": msgspec.to_builtins(change)})
-        except AppendUnsettled:
+        except AppendOutcomeUnknown:
             pass
         except PlatformUnavailable:
             with self._lock:
@@ -130,7 +130,7 @@
             kind, value = decode_record(record.body)
             if kind == "snapshot":
                 self.snapshot_at = record.offset
-            verdict = self._configuration.fold(
+            verdict = self._configuration.apply_change(
                 record.offset, value if kind == "change" else None
             )
             if kind == "change":
--- a/packages/valeweir_router/src/valeweir_router/admin.py
+++ b/packages/valeweir_router/src/valeweir_router/admin.py
@@ -2,7 +2,7 @@
 
 from prometheus_client import generate_latest
 from valeweir import metrics
-from valeweir_operators.api import Api
+from valeweir_operators.api import ApiContext
 from valeweir_operators.api import handle as handle_api
 
 from .status import get_fleet_status, get_resource_status
@@ -10,7 +10,7 @@
 
 def create_admin_handler(state, submit):
     """Return the function that handles requests to the admin port."""
-    api = Api(
+    api = ApiContext(
         configuration=state.configuration,
         lock=state.lock,
         submit=submit,
--- a/packages/valeweir_router/src/valeweir_router/main.py
+++ b/packages/valeweir_router/src/valeweir_router/main.py
@@ -7,7 +7,7 @@
 import click
 from valeweir import __version__
 from valeweir.exceptions import SettingsError
-from valeweir.logs import prepare_logs
+from valeweir.logs import configure_logging
 from valeweir.settings import load_settings
 
 from .router import create_router
@@ -32,7 +32,7 @@
         for fault in exc.faults:
             click.echo(f"{exc.path}: {fault}", err=True)
         sys.exit(_EXIT_BAD_SETTINGS)
-    prepare_logs(cfg["log"]["form"], cfg["log"]["level"])
+    configure_logging(cfg["log"]["form"], cfg["log"]["level"])
     # Thousands of callers may wait, each in its own thread, so stacks are small.
     threading.stack_size(_THREAD_STACK_BYTES)
     router = create_router(cfg)
--- a/packages/valeweir_standins/src/valeweir_standins/slopes.py
+++ b/packages/valeweir_standins/src/valeweir_standins/slopes.py
@@ -134,7 +134,7 @@
 
 def _fold(state, offset, kind, name, spec):
     change = Change(id=f"{kind}/{name}", kind=kind, name=name, base=0, spec=spec)
-    state.configuration.fold(offset, change)
+    state.configuration.apply_change(offset, change)
     return offset + 1
 
 
