--- a/packages/valeweir_cli/src/valeweir_cli/causes.py
+++ b/packages/valeweir_cli/src/valeweir_cli/causes.py
@@ -9,16 +9,16 @@
 from .loglines import LogLine
 
 # Fields that say how long a request had been here when its line was written.
-_DURATIONS = ("held_ms", "took_ms", "waited_ms")
+_DURATION_FIELDS = ("held_ms", "took_ms", "waited_ms")
 # Seconds before a request's arrival in which what its gateway learned still counts.
-_BEFORE = 2.0
+_MAX_CAUSE_DISTANCE_S = 2.0
 # Seconds after its end in which a gateway learns what it should have known.
-_AFTER = 10.0
-_DENIALS = frozenset((401, 403, 404))
+_MAX_CONFIGURATION_DELAY_S = 10.0
+_DENIAL_STATUSES = frozenset((401, 403, 404))
 # The reason of a refusal where no upstream may be sent anything for now.
-_ALL_PAUSED = "upstreams-backing-off"
+_ALL_BACKING_OFF_REASON = "upstreams-backing-off"
 # Stands between the id of an upstream and the start of one of its lives.
-_LIFE_MARK = "@"
+_INSTANCE_SEPARATOR = "@"
 
 
 class Cause(NamedTuple):
@@ -28,20 +28,20 @@
     text: str
 
 
-class _Fate(NamedTuple):
+class _RequestSpan(NamedTuple):
     """What is known of a request at one gateway; times are those of the log.
 
-    ``upstreams`` holds the lives that it was sent to or refused beside, ``is_denied``
-    whether it was refused for what it asks, ``is_paused`` whether all upstreams that
-    could serve had asked for a pause.
+    ``instance_ids`` holds the lives that it was sent to or refused beside,
+    ``is_denied`` whether it was refused for what it asks, ``all_backing_off`` whether
+    all upstreams that could serve had asked for a pause.
     """
 
     host: str
     arrived: float
     ended: float
-    upstreams: frozenset
+    instance_ids: frozenset
     is_denied: bool
-    is_paused: bool
+    all_backing_off: bool
 
 
 def find_causes(lines, request_id):
@@ -52,117 +52,126 @@
     lines : list of LogLine
         Of all gateways, in order of time.
     """
-    fates = _find_fates(line for line in lines if line.request_id == request_id)
+    spans = _find_spans(line for line in lines if line.request_id == request_id)
     causes = []
     for line in lines:
-        fate = fates.get(line.host)
+        span = spans.get(line.host)
         rule = _RULES.get(line.event)
-        if fate is None or rule is None:
+        if span is None or rule is None:
             continue
-        text = rule(line, fate)
+        text = rule(line, span)
         if text is not None:
             causes.append(Cause(line, text))
     return causes
 
 
-def _find_fates(own):
-    """Return {host: `_Fate`} of a request's lines."""
-    fates = {}
-    for line in own:
-        waited = max((line.fields.get(name) or 0.0) for name in _DURATIONS)
-        arrived = line.at - waited / 1000.0
-        upstream = line.fields.get("upstream")
-        fate = _Fate(
+def _find_spans(request_lines):
+    """Return {host: `_RequestSpan`} of a request's lines."""
+    spans = {}
+    for line in request_lines:
+        duration_ms = max((line.fields.get(name) or 0.0) for name in _DURATION_FIELDS)
+        arrived = line.timestamp - duration_ms / 1000.0
+        instance_id = line.fields.get("upstream")
+        span = _RequestSpan(
             line.host,
             arrived,
-            line.at,
-            frozenset([upstream] if upstream else ()),
-            line.fields.get("status") in _DENIALS,
-            line.fields.get("why") == _ALL_PAUSED,
+            line.timestamp,
+            frozenset([instance_id] if instance_id else ()),
+            line.fields.get("status") in _DENIAL_STATUSES,
+            line.fields.get("why") == _ALL_BACKING_OFF_REASON,
         )
-        known = fates.get(line.host)
-        fates[line.host] = fate if known is None else _join(known, fate)
-    return fates
+        existing = spans.get(line.host)
+        spans[line.host] = span if existing is None else _merge_spans(existing, span)
+    return spans
 
 
-def _join(first, second):
-    return _Fate(
+def _merge_spans(first, second):
+    return _RequestSpan(
         first.host,
         min(first.arrived, second.arrived),
         max(first.ended, second.ended),
-        first.upstreams | second.upstreams,
+        first.instance_ids | second.instance_ids,
         first.is_denied or second.is_denied,
-        first.is_paused or second.is_paused,
+        first.all_backing_off or second.all_backing_off,
     )
 
 
-def _explain_stall(line, fate):
+def _explain_stall(line, span):
     seconds = line.fields.get("seconds") or 0.0
-    if line.at < fate.arrived or line.at - seconds > fate.ended:
+    if line.timestamp < span.arrived or line.timestamp - seconds > span.ended:
         return None
     return f"the gateway stood still for {seconds:.3g} s: paused, suspended or crowded"
 
 
-def _explain_bad_record(line, fate):
+def _explain_bad_record(line, span):
     key = line.fields.get("key")
-    is_its_own = any(_get_id(upstream) == key for upstream in fate.upstreams)
-    if not is_its_own or not _is_around(line, fate):
+    is_used_upstream = any(
+        _get_upstream_id(instance_id) == key for instance_id in span.instance_ids
+    )
+    if not is_used_upstream or not _is_near(line, span):
         return None
     return f"another writer spoilt the record of upstream {key}: no new work goes there"
 
 
-def _explain_new_life(line, fate):
-    life = line.fields.get("upstream") or ""
+def _explain_restart(line, span):
+    new_id = line.fields.get("upstream") or ""
     earlier = [
-        upstream
-        for upstream in fate.upstreams
-        if upstream != life and _get_id(upstream) == _get_id(life)
+        instance_id
+        for instance_id in span.instance_ids
+        if instance_id != new_id
+        and _get_upstream_id(instance_id) == _get_upstream_id(new_id)
     ]
-    if not earlier or not _is_around(line, fate):
+    if not earlier or not _is_near(line, span):
         return None
-    return f"upstream {earlier[0]} had ended and started anew as {life}"
+    return f"upstream {earlier[0]} had ended and started anew as {new_id}"
 
 
-def _explain_configuration(line, fate):
-    late = line.at - fate.ended
-    if not fate.is_denied or not 0.0 <= late <= _AFTER:
+def _explain_late_configuration(line, span):
+    delay = line.timestamp - span.ended
+    if not span.is_denied or not 0.0 <= delay <= _MAX_CONFIGURATION_DELAY_S:
         return None
     version = line.fields.get("version")
     return (
-        f"version {version} of the configuration was in force only {late:.2f} s later"
+        f"version {version} of the configuration was in force only {delay:.2f} s later"
     )
 
 
-def _explain_silence(line, fate):
+def _explain_unanswered_call(line, span):
     waited = line.fields.get("waited_s") or 0.0
-    if not fate.is_denied or line.at < fate.arrived or line.at - waited > fate.ended:
+    if (
+        not span.is_denied
+        or line.timestamp < span.arrived
+        or line.timestamp - waited > span.ended
+    ):
         return None
     return f"the gateway had waited {waited:.3g} s for a silent store: its view was old"
 
 
-def _explain_leaving(line, fate):
-    upstream = line.fields.get("upstream")
+def _explain_leaving(line, span):
+    instance_id = line.fields.get("upstream")
     source = line.fields.get("source")
-    if source not in _BESIDE_RECORDS or upstream not in fate.upstreams:
+    if source not in _UNCONFIRMED_SOURCES or instance_id not in span.instance_ids:
         return None
-    if not _is_around(line, fate):
+    if not _is_near(line, span):
         return None
     how = "in an answer" if source == "answer" else "to another gateway"
-    return f"upstream {upstream} said {how} that it leaves: no new work goes there"
+    return f"upstream {instance_id} said {how} that it leaves: no new work goes there"
 
 
-def _explain_backoff(line, fate):
-    upstream = line.fields.get("upstream")
+def _explain_backoff(line, span):
+    instance_id = line.fields.get("upstream")
     seconds = line.fields.get("seconds") or 0.0
-    if not fate.is_paused and upstream not in fate.upstreams:
+    if not span.all_backing_off and instance_id not in span.instance_ids:
         return None
-    if line.at > fate.ended or line.at + seconds < fate.arrived:
+    if line.timestamp > span.ended or line.timestamp + seconds < span.arrived:
         return None
-    return f"upstream {upstream} had asked this gateway for a pause of {seconds:.3g} s"
+    return (
+        f"upstream {instance_id} had asked this gateway for a pause of {seconds:.3g} s"
+    )
 
 
-def _explain_older_version(line, fate):
-    if not fate.is_denied or not _is_around(line, fate):
+def _explain_older_version(line, span):
+    if not span.is_denied or not _is_near(line, span):
         return None
     fields = line.fields
     return (
@@ -171,23 +180,27 @@
     )
 
 
-def _is_around(line, fate):
-    return fate.arrived - _BEFORE <= line.at <= fate.ended + _BEFORE
+def _is_near(line, span):
+    return (
+        span.arrived - _MAX_CAUSE_DISTANCE_S
+        <= line.timestamp
+        <= span.ended + _MAX_CAUSE_DISTANCE_S
+    )
 
 
-def _get_id(life):
-    return life.partition(_LIFE_MARK)[0]
+def _get_upstream_id(instance_id):
+    return instance_id.partition(_INSTANCE_SEPARATOR)[0]
 
 
 # Sources of an upstream's leaving that its record may not confirm yet.
-_BESIDE_RECORDS = frozenset(("answer", "peer"))
+_UNCONFIRMED_SOURCES = frozenset(("answer", "peer"))
 _RULES = {
     "upstream leaving": _explain_leaving,
     "upstream backoff": _explain_backoff,
     "configuration not newer": _explain_older_version,
     "process stalled": _explain_stall,
     "bad record": _explain_bad_record,
-    "upstream ready": _explain_new_life,
-    "configuration in force": _explain_configuration,
-    "store call unanswered": _explain_silence,
+    "upstream ready": _explain_restart,
+    "configuration in force": _explain_late_configuration,
+    "store call unanswered": _explain_unanswered_call,
 }
--- a/packages/valeweir_cli/src/valeweir_cli/loglines.py
+++ b/packages/valeweir_cli/src/valeweir_cli/loglines.py
@@ -7,20 +7,21 @@
 import msgspec
 
 # A collector may put the time, in seconds, and the name of the process first.
-_LINE = re.compile(r"^\s*(?:(-?\d+(?:\.\d+)?)\s+)?(?:\S+\s+)?(\{.*\})\s*$")
+_LINE_PATTERN = re.compile(r"^\s*(?:(-?\d+(?:\.\d+)?)\s+)?(?:\S+\s+)?(\{.*\})\s*$")
 
 
 class LogLine(NamedTuple):
-    """One decision: ``at`` in seconds, ``fields`` all that the line says.
+    """One decision: ``timestamp`` in seconds, ``fields`` all that the line says.
 
-    ``collected`` tells whether a collector gave the time, or the gateway's clock.
+    ``has_collector_time`` tells whether a collector gave the time, or the gateway's
+    clock.
     """
 
-    at: float
+    timestamp: float
     event: str
     host: str
     fields: dict
-    collected: bool
+    has_collector_time: bool
 
     @property
     def request_id(self):
@@ -47,21 +48,21 @@
     lines = []
     passed_over = 0
     for path in paths:
-        for text in _read_texts(path):
+        for text in _read_lines(path):
             line = parse_line(text)
             if line is None:
                 passed_over += 1
             else:
                 lines.append(line)
-    kept = _keep_one_clock(lines)
-    kept.sort(key=lambda line: line.at)
+    kept = _keep_main_clock(lines)
+    kept.sort(key=lambda line: line.timestamp)
     passed_over += len(lines) - len(kept)
     return LogReading(kept, passed_over, _count_left_out(kept))
 
 
 def parse_line(text):
     """Return the `LogLine` in a line of text, or None where it is none."""
-    match = _LINE.match(text)
+    match = _LINE_PATTERN.match(text)
     if match is None:
         return None
     try:
@@ -71,25 +72,25 @@
     event, host = fields.get("event"), fields.get("host")
     if not isinstance(event, str) or not isinstance(host, str):
         return None
-    collected = match.group(1) is not None
-    at = match.group(1) or fields.get("time", fields.get("t"))
+    has_collector_time = match.group(1) is not None
+    timestamp = match.group(1) or fields.get("time", fields.get("t"))
     try:
-        return LogLine(float(at), event, host, fields, collected)
+        return LogLine(float(timestamp), event, host, fields, has_collector_time)
     except (TypeError, ValueError):
         return None
 
 
-def _keep_one_clock(lines):
+def _keep_main_clock(lines):
     """Return the lines timed by the clock that most were; the others have no place.
 
     A collector's times often begin at 0, gateways' clocks in 1970.
     """
-    collected = sum(line.collected for line in lines)
-    wanted = 2 * collected >= len(lines)
-    return [line for line in lines if line.collected == wanted]
+    collected_count = sum(line.has_collector_time for line in lines)
+    uses_collector_time = 2 * collected_count >= len(lines)
+    return [line for line in lines if line.has_collector_time == uses_collector_time]
 
 
-def _read_texts(path):
+def _read_lines(path):
     if path == "-":
         yield from sys.stdin
         return
@@ -100,12 +101,12 @@
 def _count_left_out(lines):
     """Add up the greatest count of each host; a restart begins at 0 again."""
     total = 0
-    last = {}
+    last_counts = {}
     for line in lines:
         count = line.fields.get("left_out")
         if not isinstance(count, int):
             continue
-        known = last.get(line.host, 0)
-        total += count - known if count >= known else count
-        last[line.host] = count
+        previous = last_counts.get(line.host, 0)
+        total += count - previous if count >= previous else count
+        last_counts[line.host] = count
     return total
--- a/packages/valeweir_cli/src/valeweir_cli/losses.py
+++ b/packages/valeweir_cli/src/valeweir_cli/losses.py
@@ -6,13 +6,13 @@
 
 LATE = "late"
 # Bins of a picture, about one for each of its pixels across.
-_MAX_BINS = 900
+_MAX_BIN_COUNT = 900
 
 
 class Loss(NamedTuple):
     """A request that earned less than it could.
 
-    ``second`` counts from the first line of the logs; ``first_sent`` is the
+    ``second`` counts from the first line of the logs; ``first_sent_ms`` is the
     time in milliseconds until it was first sent to an upstream, None where it
     never was.
     """
@@ -24,7 +24,7 @@
     domain: str
     host: str
     second: int
-    first_sent: float | None
+    first_sent_ms: float | None
 
 
 class Row(NamedTuple):
@@ -43,9 +43,9 @@
 def find_losses(lines):
     """Return the `Loss` of each line that ends a request badly or late."""
     losses = []
-    start = lines[0].at if lines else 0.0
+    start = lines[0].timestamp if lines else 0.0
     for line in lines:
-        reason = _get_reason(line)
+        reason = _get_loss_reason(line)
         if reason is None:
             continue
         get = line.fields.get
@@ -57,7 +57,7 @@
                 get("account") or "-",
                 get("domain") or "-",
                 line.host,
-                int(line.at - start),
+                int(line.timestamp - start),
                 get("first_sent_ms"),
             )
         )
@@ -68,7 +68,7 @@
     """Return a `Row` for each value of a field, the most first; seconds in order."""
     members = collections.defaultdict(list)
     for loss in losses:
-        members[str(getattr(loss, group))].append(loss.first_sent)
+        members[str(getattr(loss, group))].append(loss.first_sent_ms)
     rows = [
         Row(value, len(times), len(times) / len(losses), *_get_quantiles(times))
         for value, times in members.items()
@@ -86,15 +86,15 @@
     if not losses:
         return 1, {}
     span = max(loss.second for loss in losses) + 1
-    width = math.ceil(span / _MAX_BINS)
-    bins = math.ceil(span / width)
+    bin_width = math.ceil(span / _MAX_BIN_COUNT)
+    bins = math.ceil(span / bin_width)
     table = collections.defaultdict(lambda: [0] * bins)
     for loss in losses:
-        table[loss.reason][loss.second // width] += 1
-    return width, dict(sorted(table.items(), key=lambda item: -sum(item[1])))
+        table[loss.reason][loss.second // bin_width] += 1
+    return bin_width, dict(sorted(table.items(), key=lambda item: -sum(item[1])))
 
 
-def _get_reason(line):
+def _get_loss_reason(line):
     fields = line.fields
     if line.event == "request refused":
         return str(fields.get("why") or "refused")
@@ -114,11 +114,11 @@
 
 
 def _get_quantiles(times):
-    known = sorted(time for time in times if time is not None)
-    if not known:
+    sorted_times = sorted(time for time in times if time is not None)
+    if not sorted_times:
         return None, None
-    return _pick(known, 0.5), _pick(known, 0.99)
+    return _get_quantile(sorted_times, 0.5), _get_quantile(sorted_times, 0.99)
 
 
-def _pick(values, part):
-    return values[min(len(values) - 1, int(part * len(values)))]
+def _get_quantile(values, fraction):
+    return values[min(len(values) - 1, int(fraction * len(values)))]
