--- a/packages/valeweir_cli/src/valeweir_cli/causes.py
+++ b/packages/valeweir_cli/src/valeweir_cli/causes.py
@@ -1,39 +1,43 @@
-"""What a gateway went through around a request that may be why it failed.
+"""Finds events at a gateway that may have caused the failure of a request.
 
-Each rule looks at one line of the same gateway's log and returns a sentence, or None
-where the line has no part in the request's fate.
+Each rule checks one log line of the same gateway and returns a sentence, or None if
+the line does not explain the outcome of the request.
 """
 
 from typing import NamedTuple
 
 from .loglines import LogLine
 
-# Fields that say how long a request had been here when its line was written.
+# Log fields with the time from the arrival of a request to its log line.
 _DURATION_FIELDS = ("held_ms", "took_ms", "waited_ms")
-# Seconds before a request's arrival in which what its gateway learned still counts.
+# Events count as causes up to this long before the arrival or after the end of a
+# request.
 _MAX_CAUSE_DISTANCE_S = 2.0
-# Seconds after its end in which a gateway learns what it should have known.
+# A configuration counts as late if it comes into force within this time after the end
+# of a denied request.
 _MAX_CONFIGURATION_DELAY_S = 10.0
 _DENIAL_STATUSES = frozenset((401, 403, 404))
-# The reason of a refusal where no upstream may be sent anything for now.
+# Reason of a refusal if all upstreams have asked this gateway to back off.
 _ALL_BACKING_OFF_REASON = "upstreams-backing-off"
-# Stands between the id of an upstream and the start of one of its lives.
+# Separates the id of an upstream from the start time of one of its instances.
 _INSTANCE_SEPARATOR = "@"
 
 
 class Cause(NamedTuple):
-    """A line of a gateway, and what it says about a request."""
+    """A log line and the sentence that explains its effect on a request."""
 
     line: LogLine
     text: str
 
 
 class _RequestSpan(NamedTuple):
-    """What is known of a request at one gateway; times are those of the log.
+    """The time that a request spent at one gateway, and how it was handled there.
 
-    ``instance_ids`` holds the lives that it was sent to or refused beside,
-    ``is_denied`` whether it was refused for what it asks, ``all_backing_off`` whether
-    all upstreams that could serve had asked for a pause.
+    Times are timestamps of the log. ``instance_ids`` holds the upstream instances that
+    the log lines of the request name, whether it was sent to them or refused.
+    ``is_denied`` is True if the request was refused as unauthorized, forbidden or not
+    found. ``all_backing_off`` is True if all upstreams that could serve the request had
+    asked the gateway to back off.
     """
 
     host: str
@@ -45,12 +49,12 @@
 
 
 def find_causes(lines, request_id):
-    """Return the `Cause` list of a request, in order of time.
+    """Return the list of `Cause` of a request, ordered by time.
 
     Parameters
     ----------
     lines : list of LogLine
-        Of all gateways, in order of time.
+        Log lines of all gateways, ordered by time.
     """
     spans = _find_spans(line for line in lines if line.request_id == request_id)
     causes = []
@@ -66,7 +70,7 @@
 
 
 def _find_spans(request_lines):
-    """Return {host: `_RequestSpan`} of a request's lines."""
+    """Return {host: `_RequestSpan`} from the log lines of a request."""
     spans = {}
     for line in request_lines:
         duration_ms = max((line.fields.get(name) or 0.0) for name in _DURATION_FIELDS)
@@ -100,7 +104,10 @@
     seconds = line.fields.get("seconds") or 0.0
     if line.timestamp < span.arrived or line.timestamp - seconds > span.ended:
         return None
-    return f"the gateway stood still for {seconds:.3g} s: paused, suspended or crowded"
+    return (
+        f"the gateway process did not run for {seconds:.3g} s: it was stopped, "
+        f"suspended or short of CPU time"
+    )
 
 
 def _explain_bad_record(line, span):
@@ -110,7 +117,10 @@
     )
     if not is_used_upstream or not _is_near(line, span):
         return None
-    return f"another writer spoilt the record of upstream {key}: no new work goes there"
+    return (
+        f"another writer corrupted the record of upstream {key}, so it gets no new "
+        f"requests"
+    )
 
 
 def _explain_restart(line, span):
@@ -123,7 +133,7 @@
     ]
     if not earlier or not _is_near(line, span):
         return None
-    return f"upstream {earlier[0]} had ended and started anew as {new_id}"
+    return f"upstream {earlier[0]} had ended and restarted as {new_id}"
 
 
 def _explain_late_configuration(line, span):
@@ -132,7 +142,8 @@
         return None
     version = line.fields.get("version")
     return (
-        f"version {version} of the configuration was in force only {delay:.2f} s later"
+        f"version {version} of the configuration came into force only {delay:.2f} s "
+        f"later"
     )
 
 
@@ -144,7 +155,10 @@
         or line.timestamp - waited > span.ended
     ):
         return None
-    return f"the gateway had waited {waited:.3g} s for a silent store: its view was old"
+    return (
+        f"the gateway had waited {waited:.3g} s for a store that did not respond, so "
+        f"its view was outdated"
+    )
 
 
 def _explain_leaving(line, span):
@@ -154,8 +168,11 @@
         return None
     if not _is_near(line, span):
         return None
-    how = "in an answer" if source == "answer" else "to another gateway"
-    return f"upstream {instance_id} said {how} that it leaves: no new work goes there"
+    how = "in a response" if source == "answer" else "to another gateway"
+    return (
+        f"upstream {instance_id} announced {how} that it is leaving, so it gets no new "
+        f"requests"
+    )
 
 
 def _explain_backoff(line, span):
@@ -166,7 +183,7 @@
     if line.timestamp > span.ended or line.timestamp + seconds < span.arrived:
         return None
     return (
-        f"upstream {instance_id} had asked this gateway for a pause of {seconds:.3g} s"
+        f"upstream {instance_id} had asked this gateway to back off for {seconds:.3g} s"
     )
 
 
@@ -175,7 +192,7 @@
         return None
     fields = line.fields
     return (
-        f"version {fields.get('version')} of the configuration came behind version "
+        f"version {fields.get('version')} of the configuration arrived after version "
         f"{fields.get('in_force')}, which stayed in force"
     )
 
@@ -192,7 +209,7 @@
     return instance_id.partition(_INSTANCE_SEPARATOR)[0]
 
 
-# Sources of an upstream's leaving that its record may not confirm yet.
+# Sources that announce the leaving of an upstream before its record may show it.
 _UNCONFIRMED_SOURCES = frozenset(("answer", "peer"))
 _RULES = {
     "upstream leaving": _explain_leaving,
--- a/packages/valeweir_cli/src/valeweir_cli/explain.py
+++ b/packages/valeweir_cli/src/valeweir_cli/explain.py
@@ -1,4 +1,4 @@
-"""``valeweir explain``: from logs to the way of a request, or to all losses."""
+"""``valeweir explain``: shows the log lines of a request, or all lost requests."""
 
 import sys
 from pathlib import Path
@@ -11,7 +11,8 @@
 from .losses import GROUPS, count_by_time, find_losses, tabulate
 
 _BAD_INPUT_STATUS = 2
-# Events that say why a request is sent no more, whichever try of it they name.
+# Events that explain why a request is no longer sent. They are matched by fingerprint,
+# as they may belong to another attempt of the same request.
 _FINGERPRINT_EVENTS = frozenset(
     (
         "upstream ended under request",
@@ -25,20 +26,22 @@
 
 @click.command()
 @click.argument("logs", nargs=-1, required=True)
-@click.option("--most", default=12, show_default=True, help="Rows of each table.")
+@click.option(
+    "--most", default=12, show_default=True, help="Maximum rows of each table."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @click.option(
     "--plot",
     "plot_path",
     type=click.Path(dir_okay=False),
-    help="Draw losses over time by reason into this file.",
+    help="Write a plot of losses over time by reason to this file.",
 )
 def explain(logs, most, as_json, plot_path):
-    """Say from LOGS where requests were lost, or the way of one of them.
+    """Show which requests were lost or late in LOGS, or trace one request.
 
-    LOGS are files with gateways' log lines, "-" for standard input; where the
-    last one names no file, it is the id of a request. Exits with 2 where a file
-    cannot be read or nothing is known of the id.
+    LOGS are log files of gateways; "-" is standard input. If the last argument
+    is not a file, it is the id of a request. The exit status is 2 if a file
+    cannot be read or the id is not in the logs.
     """
     paths, request_id = _split_arguments(logs)
     try:
@@ -60,7 +63,7 @@
 
 
 def _split_arguments(logs):
-    """Return the files and the id, which is None where every argument is a file."""
+    """Return the files and the request id, which is None if all arguments are files."""
     last = logs[-1]
     if len(logs) == 1 or last == "-" or Path(last).exists():
         return logs, None
@@ -94,7 +97,7 @@
         text = " ".join(f"{key}={value}" for key, value in shown.items())
         _print_line(line, start, text)
     if causes:
-        click.echo("Around it, at the same gateway:")
+        click.echo("Possible causes at the same gateway:")
     for line, text in causes:
         _print_line(line, start, text)
     _print_skipped_counts(reading)
@@ -106,7 +109,7 @@
 
 
 def _find_request_lines(lines, request_id):
-    """Return the lines of a request, and what other tries of the same one led to."""
+    """Return the lines of a request and those that other attempts of it led to."""
     own_lines = [line for line in lines if line.request_id == request_id]
     fingerprints = {line.fields.get("fingerprint") for line in own_lines} - {None}
     return [
@@ -155,9 +158,14 @@
 
 def _print_skipped_counts(reading):
     if reading.passed_over:
-        click.echo(f"{reading.passed_over} lines passed over: no log lines")
+        click.echo(
+            f"{reading.passed_over} lines skipped: not log lines, or timed by another "
+            f"clock"
+        )
     if reading.left_out:
-        click.echo(f"{reading.left_out} lines left out by gateways above their rate")
+        click.echo(
+            f"{reading.left_out} lines dropped by gateways above their log rate limit"
+        )
 
 
 def _format_ms(milliseconds):
--- a/packages/valeweir_cli/src/valeweir_cli/loglines.py
+++ b/packages/valeweir_cli/src/valeweir_cli/loglines.py
@@ -1,4 +1,4 @@
-"""Reading gateways' structured logs, as files or from standard input."""
+"""Reads structured logs of gateways from files or standard input."""
 
 import re
 import sys
@@ -6,15 +6,16 @@
 
 import msgspec
 
-# A collector may put the time, in seconds, and the name of the process first.
+# A log collector may prepend the time in seconds and the name of the process.
 _LINE_PATTERN = re.compile(r"^\s*(?:(-?\d+(?:\.\d+)?)\s+)?(?:\S+\s+)?(\{.*\})\s*$")
 
 
 class LogLine(NamedTuple):
-    """One decision: ``timestamp`` in seconds, ``fields`` all that the line says.
+    """A parsed log line.
 
-    ``has_collector_time`` tells whether a collector gave the time, or the gateway's
-    clock.
+    ``timestamp`` is in seconds, and ``fields`` holds all fields of the line.
+    ``has_collector_time`` is True if the timestamp is that of a log collector, and
+    False if it is from the gateway's clock.
     """
 
     timestamp: float
@@ -25,14 +26,16 @@
 
     @property
     def request_id(self):
-        """Return the id of the request that the line is about, "" for none."""
+        """Return the id of the request of this line, "" if it has none."""
         return self.fields.get("id") or ""
 
 
 class LogReading(NamedTuple):
-    """What was read: lines in order of time, and how many were no log lines.
+    """The result of reading logs.
 
-    ``left_out`` is how many lines the gateways themselves left out.
+    ``lines`` is ordered by time. ``passed_over`` counts the lines that were skipped, as
+    they are not log lines or are timed by another clock. ``left_out`` counts the lines
+    that the gateways dropped.
     """
 
     lines: list[LogLine]
@@ -41,9 +44,9 @@
 
 
 def read_logs(paths):
-    """Return the `LogReading` of files, "-" for standard input.
+    """Return the `LogReading` of files; "-" is standard input.
 
-    Raises OSError where a file cannot be read.
+    Raises OSError if a file cannot be read.
     """
     lines = []
     passed_over = 0
@@ -61,7 +64,7 @@
 
 
 def parse_line(text):
-    """Return the `LogLine` in a line of text, or None where it is none."""
+    """Parse a line of text; return a `LogLine`, or None if it is not a log line."""
     match = _LINE_PATTERN.match(text)
     if match is None:
         return None
@@ -81,9 +84,10 @@
 
 
 def _keep_main_clock(lines):
-    """Return the lines timed by the clock that most were; the others have no place.
+    """Return the lines timed by the clock that most lines use.
 
-    A collector's times often begin at 0, gateways' clocks in 1970.
+    Timestamps of two clocks cannot be ordered: those of a collector often start at 0,
+    those of gateways count from 1970.
     """
     collected_count = sum(line.has_collector_time for line in lines)
     uses_collector_time = 2 * collected_count >= len(lines)
@@ -99,7 +103,7 @@
 
 
 def _count_left_out(lines):
-    """Add up the greatest count of each host; a restart begins at 0 again."""
+    """Return the total of the hosts' counters, which restart at 0 with the process."""
     total = 0
     last_counts = {}
     for line in lines:
--- a/packages/valeweir_cli/src/valeweir_cli/losses.py
+++ b/packages/valeweir_cli/src/valeweir_cli/losses.py
@@ -1,20 +1,19 @@
-"""Requests that were lost or late, by what the gateways' logs say of them."""
+"""Finds requests that were lost or late in the gateways' logs."""
 
 import collections
 import math
 from typing import NamedTuple
 
 LATE = "late"
-# Bins of a picture, about one for each of its pixels across.
+# About one bin for each horizontal pixel of the plot.
 _MAX_BIN_COUNT = 900
 
 
 class Loss(NamedTuple):
-    """A request that earned less than it could.
+    """A log line of a request that failed, was refused or was served late.
 
-    ``second`` counts from the first line of the logs; ``first_sent_ms`` is the
-    time in milliseconds until it was first sent to an upstream, None where it
-    never was.
+    ``second`` is the time since the first line of the logs. ``first_sent_ms`` is the
+    time until the request was first sent to an upstream, None if it was not sent.
     """
 
     request_id: str
@@ -28,7 +27,10 @@
 
 
 class Row(NamedTuple):
-    """Losses that share a value; times in milliseconds, None without any."""
+    """Losses with the same value of a field.
+
+    Times are in milliseconds, None if no request was sent to an upstream.
+    """
 
     value: str
     count: int
@@ -41,7 +43,7 @@
 
 
 def find_losses(lines):
-    """Return the `Loss` of each line that ends a request badly or late."""
+    """Return a `Loss` for each line that reports a failed, refused or late request."""
     losses = []
     start = lines[0].timestamp if lines else 0.0
     for line in lines:
@@ -65,7 +67,10 @@
 
 
 def tabulate(losses, group):
-    """Return a `Row` for each value of a field, the most first; seconds in order."""
+    """Return a `Row` for each value of a field.
+
+    Rows are in descending order of their count, those of seconds in order of time.
+    """
     members = collections.defaultdict(list)
     for loss in losses:
         members[str(getattr(loss, group))].append(loss.first_sent_ms)
@@ -81,7 +86,8 @@
 def count_by_time(losses):
     """Return the width of a bin in seconds and {reason: [count by bin]}.
 
-    However long the logs are, there are few bins; the greatest reason is first.
+    The number of bins is bounded for logs of any length. Reasons are in descending
+    order of their total count.
     """
     if not losses:
         return 1, {}
