--- a/packages/valeweir_cli/src/valeweir_cli/clients.py
+++ b/packages/valeweir_cli/src/valeweir_cli/clients.py
@@ -6,10 +6,10 @@
 import click
 import urllib3
 
-_TIMEOUT = 20.0
+_TIMEOUT_S = 20.0
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     """Status and decoded body of an answer."""
 
     status: int
@@ -27,42 +27,42 @@
     def call(self, method, path, spec=None, headers=None):
         """Send a request; ends the command with a message where it fails."""
         body = None if spec is None else json.dumps({"spec": spec})
-        answer = self.try_call(method, path, body, headers)
-        if answer.status >= 400:
-            detail = answer.body.get("detail", "")
-            title = answer.body.get("title", "error")
-            raise click.ClickException(f"{title} ({answer.status}): {detail}")
-        return answer.body
+        response = self.try_call(method, path, body, headers)
+        if response.status >= 400:
+            detail = response.body.get("detail", "")
+            title = response.body.get("title", "error")
+            raise click.ClickException(f"{title} ({response.status}): {detail}")
+        return response.body
 
     def try_call(self, method, path, body=None, headers=None):
-        """Send a request; return its `Answer`, problems included."""
+        """Send a request; return its `Response`, problems included."""
         try:
-            resp = self._pool.request(
+            http_resp = self._pool.request(
                 method,
                 f"{self._server}{path}",
                 body=body,
                 headers={**self._headers, **(headers or {})},
-                timeout=_TIMEOUT,
+                timeout=_TIMEOUT_S,
             )
         except urllib3.exceptions.HTTPError as exc:
             raise click.ClickException(f"{self._server}: {exc}") from exc
         try:
-            return Answer(resp.status, json.loads(resp.data or b"{}"))
+            return Response(http_resp.status, json.loads(http_resp.data or b"{}"))
         except ValueError as exc:
             raise click.ClickException("the answer is no JSON") from exc
 
     def watch(self, path):
         """Yield the events of a watch as they come."""
-        resp = self._pool.request(
+        http_resp = self._pool.request(
             "GET",
             f"{self._server}{path}",
             headers=self._headers,
             preload_content=False,
             timeout=urllib3.Timeout(connect=5.0, read=30.0),
         )
-        if resp.status != 200:
-            raise click.ClickException(json.loads(resp.data).get("detail", ""))
-        rest = b""
-        for part in resp.stream(4096):
-            *lines, rest = (rest + part).split(b"\n")
+        if http_resp.status != 200:
+            raise click.ClickException(json.loads(http_resp.data).get("detail", ""))
+        incomplete_line = b""
+        for chunk in http_resp.stream(4096):
+            *lines, incomplete_line = (incomplete_line + chunk).split(b"\n")
             yield from (json.loads(line) for line in lines if line)
--- a/packages/valeweir_cli/src/valeweir_cli/main.py
+++ b/packages/valeweir_cli/src/valeweir_cli/main.py
@@ -12,7 +12,7 @@
 from .explain import explain
 from .standins import standin
 
-_BAD_SETTINGS = 2
+_BAD_SETTINGS_STATUS = 2
 
 
 @click.group()
@@ -25,18 +25,18 @@
 @click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False))
 def check(files):
     """Check settings FILES; every fault is named by path and line."""
-    bad = False
+    has_faults = False
     for path in files:
         try:
             load_settings(path)
         except SettingsError as exc:
-            bad = True
+            has_faults = True
             for fault in exc.faults:
                 click.echo(f"{path}: {fault}")
         else:
             click.echo(f"{path}: ok")
-    if bad:
-        sys.exit(_BAD_SETTINGS)
+    if has_faults:
+        sys.exit(_BAD_SETTINGS_STATUS)
 
 
 main.add_command(bench)
--- a/packages/valeweir_cli/src/valeweir_cli/operate.py
+++ b/packages/valeweir_cli/src/valeweir_cli/operate.py
@@ -8,13 +8,13 @@
 
 from .clients import Client
 
-_kind = click.argument("kind", type=click.Choice(KINDS))
-_output = click.option(
+_kind_argument = click.argument("kind", type=click.Choice(KINDS))
+_output_option = click.option(
     "-o", "--output", type=click.Choice(["table", "json"]), default="table"
 )
 
 
-def _connect(function):
+def _add_connection_options(function):
     """Add the options that say which router to talk to, and as whom."""
     function = click.option(
         "--server",
@@ -29,10 +29,10 @@
 
 
 @click.command()
-@_kind
+@_kind_argument
 @click.argument("name", required=False)
-@_output
-@_connect
+@_output_option
+@_add_connection_options
 def get(kind, name, output, server, key):
     """Show the resources of a KIND, or one by NAME."""
     client = Client(server, key)
@@ -49,7 +49,7 @@
             [
                 r["name"],
                 r["version"],
-                _describe_force(r["status"]),
+                _describe_in_force(r["status"]),
                 json.dumps(r["spec"])[:70],
             ]
             for r in rows
@@ -60,7 +60,7 @@
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.File())
 @click.option("--dry-run", is_flag=True, help="Check, but change nothing.")
-@_connect
+@_add_connection_options
 def apply(files, dry_run, server, key):
     """Create or replace the resources in FILES (JSON with comments).
 
@@ -76,26 +76,26 @@
 
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.File())
-@_connect
+@_add_connection_options
 def diff(files, server, key):
     """Show how FILES differ from what is in force; exit code 1 if they do."""
     client = Client(server, key)
-    differs = False
+    has_differences = False
     for kind, name, spec in _read_resources(files):
-        answer = client.try_call("GET", f"/v1/{kind}/{name}")
-        now = answer.body.get("spec", {}) if answer.status == 200 else {}
-        for field in sorted(set(now) | set(spec)):
-            if now.get(field) != spec.get(field):
-                differs = True
-                old, new = json.dumps(now.get(field)), json.dumps(spec.get(field))
+        response = client.try_call("GET", f"/v1/{kind}/{name}")
+        current = response.body.get("spec", {}) if response.status == 200 else {}
+        for field in sorted(set(current) | set(spec)):
+            if current.get(field) != spec.get(field):
+                has_differences = True
+                old, new = json.dumps(current.get(field)), json.dumps(spec.get(field))
                 click.echo(f"{kind}/{name} {field}: {old} -> {new}")
-    raise SystemExit(int(differs))
+    raise SystemExit(int(has_differences))
 
 
 @click.command()
-@_kind
+@_kind_argument
 @click.argument("name")
-@_connect
+@_add_connection_options
 def delete(kind, name, server, key):
     """Delete a resource."""
     body = Client(server, key).call("DELETE", f"/v1/{kind}/{name}")
@@ -103,9 +103,9 @@
 
 
 @click.command()
-@_kind
+@_kind_argument
 @click.option("--from", "since", type=int, help="Version to watch from.")
-@_connect
+@_add_connection_options
 def watch(kind, since, server, key):
     """Print changes to a KIND as they come into force, one JSON a line."""
     path = f"/v1/{kind}?watch=1" + (f"&from={since}" if since is not None else "")
@@ -116,7 +116,7 @@
 @click.command()
 @click.argument("upstream")
 @click.option("--resume", is_flag=True, help="Serve again.")
-@_connect
+@_add_connection_options
 def drain(upstream, resume, server, key):
     """Send an UPSTREAM no new work; what runs there ends there."""
     state = "serving" if resume else "leaving"
@@ -127,8 +127,8 @@
 
 
 @click.command()
-@_output
-@_connect
+@_output_option
+@_add_connection_options
 def status(output, server, key):
     """Show the fleet at a glance, as one router sees it."""
     fleet = Client(server, key).call("GET", "/v1/fleet")
@@ -198,7 +198,7 @@
             yield row["kind"], row["name"], row["spec"]
 
 
-def _describe_force(state):
+def _describe_in_force(state):
     if state["in_force"]:
         return f"all {state['in_force_count']}"
     return f"{state['in_force_count']}, not {','.join(state['lagging'][:3])}"
--- a/packages/valeweir_cli/src/valeweir_cli/plots.py
+++ b/packages/valeweir_cli/src/valeweir_cli/plots.py
@@ -30,7 +30,7 @@
     """
     fig, axis = pyplot.subplots(figsize=(9, 4))
     if counts:
-        seconds = [width * n for n in range(len(next(iter(counts.values()))))]
+        seconds = [width * index for index in range(len(next(iter(counts.values()))))]
         axis.stackplot(seconds, *counts.values(), labels=list(counts))
         axis.legend(fontsize=7, loc="upper right")
     axis.set_xlabel("seconds since the first line")
