--- a/packages/valeweir_cli/src/valeweir_cli/clients.py
+++ b/packages/valeweir_cli/src/valeweir_cli/clients.py
@@ -1,4 +1,4 @@
-"""Client of the resource API, for the command line."""
+"""HTTP client of the resource API for the command line."""
 
 import json
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class Response(NamedTuple):
-    """Status and decoded body of an answer."""
+    """Status and decoded body of an HTTP response."""
 
     status: int
     body: dict
 
 
 class Client:
-    """Talks to one router's admin port."""
+    """Sends requests to the admin port of one router."""
 
     def __init__(self, server, key):
         self._server = server.rstrip("/")
@@ -25,7 +25,10 @@
         self._pool = urllib3.PoolManager(retries=False)
 
     def call(self, method, path, spec=None, headers=None):
-        """Send a request; ends the command with a message where it fails."""
+        """Send a request and return the body of the response.
+
+        Raises ClickException, which ends the command with a message, if it fails.
+        """
         body = None if spec is None else json.dumps({"spec": spec})
         response = self.try_call(method, path, body, headers)
         if response.status >= 400:
@@ -35,7 +38,7 @@
         return response.body
 
     def try_call(self, method, path, body=None, headers=None):
-        """Send a request; return its `Response`, problems included."""
+        """Send a request and return its `Response`, also for error statuses."""
         try:
             http_resp = self._pool.request(
                 method,
@@ -49,10 +52,10 @@
         try:
             return Response(http_resp.status, json.loads(http_resp.data or b"{}"))
         except ValueError as exc:
-            raise click.ClickException("the answer is no JSON") from exc
+            raise click.ClickException("the response is not JSON") from exc
 
     def watch(self, path):
-        """Yield the events of a watch as they come."""
+        """Yield the events of a watch as they arrive."""
         http_resp = self._pool.request(
             "GET",
             f"{self._server}{path}",
--- a/packages/valeweir_cli/src/valeweir_cli/main.py
+++ b/packages/valeweir_cli/src/valeweir_cli/main.py
@@ -1,4 +1,4 @@
-"""The command line of operators and developers."""
+"""The command line for operators and developers."""
 
 import sys
 
@@ -18,13 +18,13 @@
 @click.group()
 @click.version_option(__version__, prog_name="valeweir")
 def main():
-    """Operate and try out a valeweir fleet."""
+    """Operate a valeweir fleet, or run one locally."""
 
 
 @main.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False))
 def check(files):
-    """Check settings FILES; every fault is named by path and line."""
+    """Check settings FILES and print each error with its path and line."""
     has_faults = False
     for path in files:
         try:
--- a/packages/valeweir_cli/src/valeweir_cli/operate.py
+++ b/packages/valeweir_cli/src/valeweir_cli/operate.py
@@ -1,4 +1,4 @@
-"""Commands for operators: get, apply, diff, delete, watch, drain, status."""
+"""Operator commands: get, apply, diff, delete, watch, drain, status."""
 
 import json
 
@@ -15,16 +15,16 @@
 
 
 def _add_connection_options(function):
-    """Add the options that say which router to talk to, and as whom."""
+    """Add the options for the address of the router and the API key."""
     function = click.option(
         "--server",
         envvar="VALEWEIR_SERVER",
         default="http://127.0.0.1:8081",
         show_default=True,
-        help="Admin port of any router (VALEWEIR_SERVER).",
+        help="URL of the admin port of any router (VALEWEIR_SERVER).",
     )(function)
     return click.option(
-        "--key", envvar="VALEWEIR_KEY", required=True, help="Your key (VALEWEIR_KEY)."
+        "--key", envvar="VALEWEIR_KEY", required=True, help="API key (VALEWEIR_KEY)."
     )(function)
 
 
@@ -34,7 +34,7 @@
 @_output_option
 @_add_connection_options
 def get(kind, name, output, server, key):
-    """Show the resources of a KIND, or one by NAME."""
+    """Show all resources of a KIND, or the one called NAME."""
     client = Client(server, key)
     if name:
         rows = [client.call("GET", f"/v1/{kind}/{name}")]
@@ -59,12 +59,14 @@
 
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.File())
-@click.option("--dry-run", is_flag=True, help="Check, but change nothing.")
+@click.option(
+    "--dry-run", is_flag=True, help="Validate the resources without changing them."
+)
 @_add_connection_options
 def apply(files, dry_run, server, key):
     """Create or replace the resources in FILES (JSON with comments).
 
-    A file holds one resource or a list: {kind, name, spec}.
+    A file contains one resource or a list of them: {kind, name, spec}.
     """
     client = Client(server, key)
     for kind, name, spec in _read_resources(files):
@@ -78,7 +80,7 @@
 @click.argument("files", nargs=-1, required=True, type=click.File())
 @_add_connection_options
 def diff(files, server, key):
-    """Show how FILES differ from what is in force; exit code 1 if they do."""
+    """Show how FILES differ from the specs in force; exit with 1 if so."""
     client = Client(server, key)
     has_differences = False
     for kind, name, spec in _read_resources(files):
@@ -107,7 +109,7 @@
 @click.option("--from", "since", type=int, help="Version to watch from.")
 @_add_connection_options
 def watch(kind, since, server, key):
-    """Print changes to a KIND as they come into force, one JSON a line."""
+    """Print changes to a KIND as they come into force, one JSON object per line."""
     path = f"/v1/{kind}?watch=1" + (f"&from={since}" if since is not None else "")
     for event in Client(server, key).watch(path):
         click.echo(json.dumps(event))
@@ -115,10 +117,10 @@
 
 @click.command()
 @click.argument("upstream")
-@click.option("--resume", is_flag=True, help="Serve again.")
+@click.option("--resume", is_flag=True, help="Let the upstream serve again.")
 @_add_connection_options
 def drain(upstream, resume, server, key):
-    """Send an UPSTREAM no new work; what runs there ends there."""
+    """Send an UPSTREAM no new requests; running ones complete there."""
     state = "serving" if resume else "leaving"
     body = Client(server, key).call(
         "PATCH", f"/v1/upstreams/{upstream}", {"state": state}
@@ -130,7 +132,7 @@
 @_output_option
 @_add_connection_options
 def status(output, server, key):
-    """Show the fleet at a glance, as one router sees it."""
+    """Show an overview of the fleet as seen by one router."""
     fleet = Client(server, key).call("GET", "/v1/fleet")
     if output == "json":
         click.echo(json.dumps(fleet, indent=2))
@@ -186,7 +188,7 @@
 
 
 def _read_resources(files):
-    """Yield ``(kind, name, spec)`` of every resource in the files."""
+    """Yield ``(kind, name, spec)`` for each resource in the files."""
     for file in files:
         try:
             data = json5.load(file)
@@ -194,7 +196,9 @@
             raise click.ClickException(f"{file.name}: {exc}") from exc
         for row in data if isinstance(data, list) else [data]:
             if not isinstance(row, dict) or not {"kind", "name", "spec"} <= set(row):
-                raise click.ClickException(f"{file.name}: needs kind, name and spec")
+                raise click.ClickException(
+                    f"{file.name}: a resource needs kind, name and spec"
+                )
             yield row["kind"], row["name"], row["spec"]
 
 
