--- a/packages/valeweir_cli/src/valeweir_cli/losses.py
+++ b/packages/valeweir_cli/src/valeweir_cli/losses.py
@@ -1,20 +1,19 @@
-"""Requests that were lost or late, by what the gateways' logs say of them."""
+"""Finds requests that were lost or late in the gateways' logs."""
 
 import collections
 import math
 from typing import NamedTuple
 
 LATE = "late"
-# Bins of a picture, about one for each of its pixels across.
-_MAX_BINS = 900
+# About one bin for each horizontal pixel of the plot.
+_MAX_BIN_COUNT = 900
 
 
 class Loss(NamedTuple):
-    """A request that earned less than it could.
+    """A log line of a request that failed, was refused or was served late.
 
-    ``second`` counts from the first line of the logs; ``first_sent`` is the
-    time in milliseconds until it was first sent to an upstream, None where it
-    never was.
+    ``second`` is the time since the first line of the logs. ``first_sent_ms`` is the
+    time until the request was first sent to an upstream, None if it was not sent.
     """
 
     request_id: str
@@ -24,11 +23,14 @@
     domain: str
     host: str
     second: int
-    first_sent: float | None
+    first_sent_ms: float | None
 
 
 class Row(NamedTuple):
-    """Losses that share a value; times in milliseconds, None without any."""
+    """Losses with the same value of a field.
+
+    Times are in milliseconds, None if no request was sent to an upstream.
+    """
 
     value: str
     count: int
@@ -41,11 +43,11 @@
 
 
 def find_losses(lines):
-    """Return the `Loss` of each line that ends a request badly or late."""
+    """Return a `Loss` for each line that reports a failed, refused or late request."""
     losses = []
-    start = lines[0].at if lines else 0.0
+    start = lines[0].timestamp if lines else 0.0
     for line in lines:
-        reason = _get_reason(line)
+        reason = _get_loss_reason(line)
         if reason is None:
             continue
         get = line.fields.get
@@ -57,7 +59,7 @@
                 get("account") or "-",
                 get("domain") or "-",
                 line.host,
-                int(line.at - start),
+                int(line.timestamp - start),
                 get("first_sent_ms"),
             )
         )
@@ -65,10 +67,13 @@
 
 
 def tabulate(losses, group):
-    """Return a `Row` for each value of a field, the most first; seconds in order."""
+    """Return a `Row` for each value of a field.
+
+    Rows are in descending order of their count, those of seconds in order of time.
+    """
     members = collections.defaultdict(list)
     for loss in losses:
-        members[str(getattr(loss, group))].append(loss.first_sent)
+        members[str(getattr(loss, group))].append(loss.first_sent_ms)
     rows = [
         Row(value, len(times), len(times) / len(losses), *_get_quantiles(times))
         for value, times in members.items()
@@ -81,20 +86,21 @@
 def count_by_time(losses):
     """Return the width of a bin in seconds and {reason: [count by bin]}.
 
-    However long the logs are, there are few bins; the greatest reason is first.
+    The number of bins is bounded for logs of any length. Reasons are in descending
+    order of their total count.
     """
     if not losses:
         return 1, {}
     span = max(loss.second for loss in losses) + 1
-    width = math.ceil(span / _MAX_BINS)
-    bins = math.ceil(span / width)
+    bin_width = math.ceil(span / _MAX_BIN_COUNT)
+    bins = math.ceil(span / bin_width)
     table = collections.defaultdict(lambda: [0] * bins)
     for loss in losses:
-        table[loss.reason][loss.second // width] += 1
-    return width, dict(sorted(table.items(), key=lambda item: -sum(item[1])))
+        table[loss.reason][loss.second // bin_width] += 1
+    return bin_width, dict(sorted(table.items(), key=lambda item: -sum(item[1])))
 
 
-def _get_reason(line):
+def _get_loss_reason(line):
     fields = line.fields
     if line.event == "request refused":
         return str(fields.get("why") or "refused")
@@ -114,11 +120,11 @@
 
 
 def _get_quantiles(times):
-    known = sorted(time for time in times if time is not None)
-    if not known:
+    sorted_times = sorted(time for time in times if time is not None)
+    if not sorted_times:
         return None, None
-    return _pick(known, 0.5), _pick(known, 0.99)
+    return _get_quantile(sorted_times, 0.5), _get_quantile(sorted_times, 0.99)
 
 
-def _pick(values, part):
-    return values[min(len(values) - 1, int(part * len(values)))]
+def _get_quantile(values, fraction):
+    return values[min(len(values) - 1, int(fraction * len(values)))]
--- a/packages/valeweir_cli/src/valeweir_cli/operate.py
+++ b/packages/valeweir_cli/src/valeweir_cli/operate.py
@@ -1,4 +1,4 @@
-"""Commands for operators: get, apply, diff, delete, watch, drain, status."""
+"""Operator commands: get, apply, diff, delete, watch, drain, status."""
 
 import json
 
@@ -8,33 +8,33 @@
 
 from .clients import Client
 
-_kind = click.argument("kind", type=click.Choice(KINDS))
-_output = click.option(
+_kind_argument = click.argument("kind", type=click.Choice(KINDS))
+_output_option = click.option(
     "-o", "--output", type=click.Choice(["table", "json"]), default="table"
 )
 
 
-def _connect(function):
-    """Add the options that say which router to talk to, and as whom."""
+def _add_connection_options(function):
+    """Add the options for the address of the router and the API key."""
     function = click.option(
         "--server",
         envvar="VALEWEIR_SERVER",
         default="http://127.0.0.1:8081",
         show_default=True,
-        help="Admin port of any router (VALEWEIR_SERVER).",
+        help="URL of the admin port of any router (VALEWEIR_SERVER).",
     )(function)
     return click.option(
-        "--key", envvar="VALEWEIR_KEY", required=True, help="Your key (VALEWEIR_KEY)."
+        "--key", envvar="VALEWEIR_KEY", required=True, help="API key (VALEWEIR_KEY)."
     )(function)
 
 
 @click.command()
-@_kind
+@_kind_argument
 @click.argument("name", required=False)
-@_output
-@_connect
+@_output_option
+@_add_connection_options
 def get(kind, name, output, server, key):
-    """Show the resources of a KIND, or one by NAME."""
+    """Show all resources of a KIND, or the one called NAME."""
     client = Client(server, key)
     if name:
         rows = [client.call("GET", f"/v1/{kind}/{name}")]
@@ -49,7 +49,7 @@
             [
                 r["name"],
                 r["version"],
-                _describe_force(r["status"]),
+                _describe_in_force(r["status"]),
                 json.dumps(r["spec"])[:70],
             ]
             for r in rows
@@ -59,12 +59,14 @@
 
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.File())
-@click.option("--dry-run", is_flag=True, help="Check, but change nothing.")
-@_connect
+@click.option(
+    "--dry-run", is_flag=True, help="Validate the resources without changing them."
+)
+@_add_connection_options
 def apply(files, dry_run, server, key):
     """Create or replace the resources in FILES (JSON with comments).
 
-    A file holds one resource or a list: {kind, name, spec}.
+    A file contains one resource or a list of them: {kind, name, spec}.
     """
     client = Client(server, key)
     for kind, name, spec in _read_resources(files):
@@ -76,26 +78,26 @@
 
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=click.File())
-@_connect
+@_add_connection_options
 def diff(files, server, key):
-    """Show how FILES differ from what is in force; exit code 1 if they do."""
+    """Show how FILES differ from the specs in force; exit with 1 if so."""
     client = Client(server, key)
-    differs = False
+    has_differences = False
     for kind, name, spec in _read_resources(files):
-        answer = client.try_call("GET", f"/v1/{kind}/{name}")
-        now = answer.body.get("spec", {}) if answer.status == 200 else {}
-        for field in sorted(set(now) | set(spec)):
-            if now.get(field) != spec.get(field):
-                differs = True
-                old, new = json.dumps(now.get(field)), json.dumps(spec.get(field))
+        response = client.try_call("GET", f"/v1/{kind}/{name}")
+        current = response.body.get("spec", {}) if response.status == 200 else {}
+        for field in sorted(set(current) | set(spec)):
+            if current.get(field) != spec.get(field):
+                has_differences = True
+                old, new = json.dumps(current.get(field)), json.dumps(spec.get(field))
                 click.echo(f"{kind}/{name} {field}: {old} -> {new}")
-    raise SystemExit(int(differs))
+    raise SystemExit(int(has_differences))
 
 
 @click.command()
-@_kind
+@_kind_argument
 @click.argument("name")
-@_connect
+@_add_connection_options
 def delete(kind, name, server, key):
     """Delete a resource."""
     body = Client(server, key).call("DELETE", f"/v1/{kind}/{name}")
@@ -103,11 +105,11 @@
 
 
 @click.command()
-@_kind
+@_kind_argument
 @click.option("--from", "since", type=int, help="Version to watch from.")
-@_connect
+@_add_connection_options
 def watch(kind, since, server, key):
-    """Print changes to a KIND as they come into force, one JSON a line."""
+    """Print changes to a KIND as they come into force, one JSON object per line."""
     path = f"/v1/{kind}?watch=1" + (f"&from={since}" if since is not None else "")
     for event in Client(server, key).watch(path):
         click.echo(json.dumps(event))
@@ -115,10 +117,10 @@
 
 @click.command()
 @click.argument("upstream")
-@click.option("--resume", is_flag=True, help="Serve again.")
-@_connect
+@click.option("--resume", is_flag=True, help="Let the upstream serve again.")
+@_add_connection_options
 def drain(upstream, resume, server, key):
-    """Send an UPSTREAM no new work; what runs there ends there."""
+    """Send an UPSTREAM no new requests; running ones complete there."""
     state = "serving" if resume else "leaving"
     body = Client(server, key).call(
         "PATCH", f"/v1/upstreams/{upstream}", {"state": state}
@@ -127,10 +129,10 @@
 
 
 @click.command()
-@_output
-@_connect
+@_output_option
+@_add_connection_options
 def status(output, server, key):
-    """Show the fleet at a glance, as one router sees it."""
+    """Show an overview of the fleet as seen by one router."""
     fleet = Client(server, key).call("GET", "/v1/fleet")
     if output == "json":
         click.echo(json.dumps(fleet, indent=2))
@@ -186,7 +188,7 @@
 
 
 def _read_resources(files):
-    """Yield ``(kind, name, spec)`` of every resource in the files."""
+    """Yield ``(kind, name, spec)`` for each resource in the files."""
     for file in files:
         try:
             data = json5.load(file)
@@ -194,11 +196,13 @@
             raise click.ClickException(f"{file.name}: {exc}") from exc
         for row in data if isinstance(data, list) else [data]:
             if not isinstance(row, dict) or not {"kind", "name", "spec"} <= set(row):
-                raise click.ClickException(f"{file.name}: needs kind, name and spec")
+                raise click.ClickException(
+                    f"{file.name}: a resource needs kind, name and spec"
+                )
             yield row["kind"], row["name"], row["spec"]
 
 
-def _describe_force(state):
+def _describe_in_force(state):
     if state["in_force"]:
         return f"all {state['in_force_count']}"
     return f"{state['in_force_count']}, not {','.join(state['lagging'][:3])}"
