--- a/packages/valeweir_fleet/src/valeweir_fleet/links.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/links.py
@@ -11,7 +11,7 @@
 
 from .messages import decode_message, encode_message
 
-_QUEUE_LIMIT = 1000
+_MAX_QUEUED_COUNT = 1000
 _LINGER_MS = 200
 _POLL_MS = 200
 
@@ -31,7 +31,7 @@
         self.address = address
         self.sent_bytes = 0
         self._connect = connect
-        self._queue = queue.Queue(_QUEUE_LIMIT)
+        self._queue = queue.Queue(_MAX_QUEUED_COUNT)
         self._thread = threading.Thread(
             target=self._run, name=f"link-{address}", daemon=True
         )
@@ -139,7 +139,7 @@
 
     def _connect(self, address):
         sock = self._context.socket(zmq.DEALER)
-        sock.setsockopt(zmq.SNDHWM, _QUEUE_LIMIT)
+        sock.setsockopt(zmq.SNDHWM, _MAX_QUEUED_COUNT)
         # Without a connection nothing is kept: stale news is worse than none.
         sock.setsockopt(zmq.IMMEDIATE, 1)
         sock.setsockopt(zmq.RECONNECT_IVL, 100)
@@ -159,13 +159,13 @@
             data = self._sock.recv_multipart()[-1]
             started = time.thread_time()
             metrics.control_bytes.labels("in").inc(len(data))
-            self._deliver(handle, data)
+            self._dispatch(handle, data)
             metrics.control_seconds.inc(time.thread_time() - started)
 
-    def _deliver(self, handle, data):
-        message, why = decode_message(data)
+    def _dispatch(self, handle, data):
+        message, reason = decode_message(data)
         if message is None:
-            metrics.control_dropped.labels(why).inc()
+            metrics.control_dropped.labels(reason).inc()
             return
         try:
             handle(message)
--- a/packages/valeweir_fleet/src/valeweir_fleet/messages.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/messages.py
@@ -7,8 +7,8 @@
 import msgspec
 from valeweir_sharing.leases import Claim, Grant
 
-VERSION = 1
-MAX_BYTES = 1 << 20
+PROTOCOL_VERSION = 1
+MAX_MESSAGE_BYTES = 1 << 20
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
@@ -18,7 +18,7 @@
     every message that the incarnation sends.
     """
 
-    version: int = VERSION
+    version: int = PROTOCOL_VERSION
     source: str
     seq: int
 
@@ -195,12 +195,12 @@
 
 def decode_message(data):
     """Return ``(message, None)`` or ``(None, why)`` for bytes off the wire."""
-    if len(data) > MAX_BYTES:
+    if len(data) > MAX_MESSAGE_BYTES:
         return None, "oversized"
     try:
         message = _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError, ValueError):
         return None, "malformed"
-    if message.version != VERSION:
+    if message.version != PROTOCOL_VERSION:
         return None, "version"
     return message, None
--- a/packages/valeweir_fleet/src/valeweir_fleet/peers.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/peers.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-_REMEMBERED = 5000
+_MAX_REPLACED_COUNT = 5000
 
 
 class Peer:
@@ -49,7 +49,7 @@
     leaving: bool = False
 
 
-class Change(NamedTuple):
+class LivenessChange(NamedTuple):
     """A peer that came or went."""
 
     peer: Peer
@@ -69,14 +69,14 @@
         self.by_host = {}
         self.members = {}
         self.replaced = []
-        self._replaced_names = {}
+        self._replaced_sources = {}
 
     def note(self, message, now):
         """Take note of a message; return its `Peer`, or None for a replay."""
         host = get_host(message.source)
         peer = self.by_source.get(message.source)
         if peer is None:
-            if not self._make_way(host, message.source, now):
+            if not self._replace_incarnation(host, message.source, now):
                 return None
             peer = Peer(message.source, host)
             self.by_source[message.source] = peer
@@ -95,14 +95,14 @@
         self.members = {member.host: member for member in members}
 
     def get_changes(self, now):
-        """Recompute who is live; return a `Change` for each that differs."""
+        """Recompute who is live; return a `LivenessChange` for each that differs."""
         changes = []
         for peer in self.by_host.values():
             oldest = now - self.patience
             live = peer.heard > oldest and peer.echo > oldest and bool(peer.address)
             if live != peer.live:
                 peer.live = live
-                changes.append(Change(peer, live))
+                changes.append(LivenessChange(peer, live))
         return changes
 
     def get_live(self):
@@ -134,9 +134,9 @@
         peer = self.by_host.get(host)
         return peer.address if peer is not None else ""
 
-    def _make_way(self, host, source, now):
+    def _replace_incarnation(self, host, source, now):
         """Replace the host's incarnation; False where ``source`` is no later one."""
-        if source in self._replaced_names:
+        if source in self._replaced_sources:
             return False
         current = self.by_host.get(host)
         if current is None:
@@ -144,13 +144,17 @@
         # A clock that was set back gives a later start a lower number; then
         # the silence of the other one tells them apart.
         silent = current.heard < now - self.patience
-        if _number(current.source) > _number(source) and not silent:
+        if (
+            _parse_incarnation_number(current.source)
+            > _parse_incarnation_number(source)
+            and not silent
+        ):
             return False
         del self.by_source[current.source]
         self.replaced.append(current)
-        self._replaced_names[current.source] = None
-        if len(self._replaced_names) > _REMEMBERED:
-            self._replaced_names.pop(next(iter(self._replaced_names)))
+        self._replaced_sources[current.source] = None
+        if len(self._replaced_sources) > _MAX_REPLACED_COUNT:
+            self._replaced_sources.pop(next(iter(self._replaced_sources)))
         return True
 
 
@@ -159,7 +163,7 @@
     return source.partition("#")[0]
 
 
-def _number(source):
+def _parse_incarnation_number(source):
     """Return the incarnation's number; a later start has a higher one."""
     number = source.partition("#")[2]
     return int(number, 36) if number.isalnum() else 0
