--- a/packages/valeweir_fleet/src/valeweir_fleet/__init__.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Peer: the other routers, over ZeroMQ with typed msgspec messages."""
+"""Communication with the other routers: msgspec messages over ZeroMQ."""
--- a/packages/valeweir_fleet/src/valeweir_fleet/links.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/links.py
@@ -17,7 +17,7 @@
 
 
 class CurveKeys(NamedTuple):
-    """CURVE keys of this daemon, and the public keys that may connect."""
+    """CURVE keys of this daemon, and the public keys that are allowed to connect."""
 
     public: bytes
     secret: bytes
@@ -25,7 +25,7 @@
 
 
 class Link:
-    """Messages to one peer; what it cannot take is dropped and counted."""
+    """Sends messages to one peer; drops and counts those that it cannot send."""
 
     def __init__(self, address, connect):
         self.address = address
@@ -38,14 +38,14 @@
         self._thread.start()
 
     def send(self, message):
-        """Queue a message."""
+        """Queue a message, or drop it if the queue is full."""
         try:
             self._queue.put_nowait(message)
         except queue.Full:
             metrics.control_dropped.labels("link full").inc()
 
     def close(self):
-        """End the thread once what is queued has been sent."""
+        """Stop the thread after the queued messages have been sent."""
         self._queue.put(None)
         self._thread.join(1.0)
 
@@ -73,14 +73,14 @@
 
 
 class Links:
-    """The listening socket and all links.
+    """The listening socket and the links to all peers.
 
     Parameters
     ----------
     address : str
         ``IP:PORT`` to listen on.
     keys : CurveKeys or None
-        None leaves the sockets without encryption, for tests.
+        None disables encryption, for tests.
     """
 
     def __init__(self, address, keys=None):
@@ -109,18 +109,18 @@
 
     @property
     def sent_bytes(self):
-        """Bytes sent over the links that are open now."""
+        """Bytes sent over the links that are currently open."""
         return sum(link.sent_bytes for link in list(self._links.values()))
 
     def send(self, address, message):
-        """Send to a peer by address; opens its link at first use."""
+        """Send a message to an address; opens the link on first use."""
         link = self._links.get(address)
         if link is None:
             link = self._links[address] = Link(address, self._connect)
         link.send(message)
 
     def drop(self, address):
-        """Close the link to a peer that is gone."""
+        """Close the link to a peer that is lost."""
         link = self._links.pop(address, None)
         if link is not None:
             link.close()
@@ -140,12 +140,13 @@
     def _connect(self, address):
         sock = self._context.socket(zmq.DEALER)
         sock.setsockopt(zmq.SNDHWM, _MAX_QUEUED_COUNT)
-        # Without a connection nothing is kept: stale news is worse than none.
+        # Without a connection, messages are not queued: outdated state is worse
+        # than none.
         sock.setsockopt(zmq.IMMEDIATE, 1)
         sock.setsockopt(zmq.RECONNECT_IVL, 100)
         sock.setsockopt(zmq.RECONNECT_IVL_MAX, 2000)
         if self._keys is not None:
-            # The fleet shares one server key; clients are told apart by theirs.
+            # All routers share one server key; clients differ in their own keys.
             sock.curve_serverkey = self._keys.public
             sock.curve_publickey = self._keys.public
             sock.curve_secretkey = self._keys.secret
@@ -170,7 +171,7 @@
         try:
             handle(message)
         except Exception:
-            logger.exception("message from {} failed", message.source)
+            logger.exception("handling a message from {} failed", message.source)
 
 
 def _start_authenticator(context, keys):
@@ -185,7 +186,7 @@
 
 
 class _AllowedKeys:
-    """The interface that pyzmq asks whether a key may connect."""
+    """Credentials provider for pyzmq that accepts a fixed set of keys."""
 
     def __init__(self, allowed):
         self._allowed = set(allowed)
--- a/packages/valeweir_fleet/src/valeweir_fleet/messages.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/messages.py
@@ -1,7 +1,7 @@
-"""Messages between routers: compact arrays in MessagePack, with a version.
+"""Messages between routers: versioned MessagePack arrays.
 
-msgspec structs rather than named tuples, since a tagged union is told apart
-and checked in one decoding step.
+Messages are msgspec structs rather than named tuples because msgspec selects
+and validates the type of a tagged union in one decoding step.
 """
 
 import msgspec
@@ -12,10 +12,10 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """What every message starts with.
+    """Base class of the messages, with the fields that all of them start with.
 
-    ``source`` is the sender's incarnation, ``HOST#NUMBER``; ``seq`` grows with
-    every message that the incarnation sends.
+    ``source`` is the sender's incarnation, ``HOST#NUMBER``; ``seq`` increases
+    with every message that the incarnation sends.
     """
 
     version: int = PROTOCOL_VERSION
@@ -24,18 +24,18 @@
 
 
 class Identity(msgspec.Struct, frozen=True, array_like=True):
-    """Where a router is; sent with the first digests and now and then."""
+    """Location of a router; sent in the first digests and periodically afterwards."""
 
     domain: str
     address: str
 
 
 class PoolReport(msgspec.Struct, frozen=True, array_like=True):
-    """Service figures of one pool; costs per weight, rounded to integers.
+    """Service usage in one pool, as cost per weight rounded to integers.
 
     ``accounts`` maps a client account's number to ``(settled, inflight, lift,
-    waiting)``. The number is the log offset at which the account was created:
-    the same at every router, and a third of a name's bytes.
+    waiting)``. The number is the log offset at which the account was created. It
+    is the same at every router and takes a third of the bytes of a name.
     """
 
     pool: str
@@ -44,11 +44,11 @@
 
 
 class Digest(Message, tag="D"):
-    """Heartbeat, service report, claims and grants, once an interval.
+    """Heartbeat, service report, claims and grants, sent once per interval.
 
-    ``echo`` is the last ``sent_at`` that came from the receiver: it extends
-    the leases that the receiver holds of the sender and shows that the way
-    there works too. ``whole`` says that ``pools`` omits nothing.
+    ``echo`` is the last ``sent_at`` received from the receiver. It extends the
+    leases that the sender granted to the receiver and proves that messages
+    from the receiver arrive. ``whole`` is true if ``pools`` is complete.
     """
 
     sent_at: float
@@ -63,10 +63,10 @@
 
 
 class Ask(Message, tag="A"):
-    """A holder hands back slots, or asks for some, between digests.
+    """Returns or requests slots of an owner between digests.
 
-    ``waiting`` maps the number of each account that waits in ``pool`` to its
-    requests.
+    ``waiting`` maps the number of each account with queued requests in ``pool``
+    to the count of these requests.
     """
 
     sent_at: float
@@ -76,7 +76,7 @@
 
 
 class Offer(Message, tag="O"):
-    """An owner grants slots between digests, or recalls idle ones."""
+    """Grants slots to a holder between digests, or recalls idle ones."""
 
     echo: float
     grants: list[Grant]
@@ -84,10 +84,11 @@
 
 
 class Handover(Message, tag="T"):
-    """An owner passes its table of an upstream on to the next owner.
+    """Transfers an owner's slot table of an upstream to the next owner.
 
-    ``wait`` is the time in seconds until the sender itself would have granted
-    freely; ``holders`` maps incarnations to the slots they may be using.
+    ``wait`` is the time in seconds until the sender itself could have granted
+    without restrictions; ``holders`` maps incarnations to the slots that they
+    may be using.
     """
 
     upstream: str
@@ -97,23 +98,23 @@
 
 
 class ViewQuery(Message, tag="Q"):
-    """A router behind ``config_offset`` asks for the configuration."""
+    """Requests the configuration for a router that is behind ``config_offset``."""
 
     offset: int
 
 
 class ViewAnswer(Message, tag="V"):
-    """The sender's whole configuration, as a `valeweir.configuration.View`."""
+    """The sender's complete configuration, as a `valeweir.configuration.View`."""
 
     view: bytes
 
 
 class HistoryQuery(Message, tag="H"):
-    """A router that started empty asks for the service of past incarnations."""
+    """Requests the service of past incarnations for a router without history."""
 
 
 class Past(msgspec.Struct, frozen=True, array_like=True):
-    """Service of one account in one pool that no live router reports."""
+    """Service to one account in one pool that no live router reports."""
 
     pool: str
     account: int
@@ -122,7 +123,7 @@
 
 
 class History(Message, tag="P"):
-    """Service of past and silent incarnations, see
+    """Service by past and silent incarnations, see
     `valeweir_sharing.usage.History`.
 
     ``silent`` maps an incarnation to ``(pool, account, settled)`` rows.
@@ -134,9 +135,9 @@
 
 
 class KeyClaim(Message, tag="K"):
-    """A router asks a holder to record an idempotency key for a request.
+    """Requests that a holder record an idempotency key for a request.
 
-    Both travel as digests, see `valeweir_router.key_claims`.
+    Both are sent as hashes, see `valeweir_router.key_claims`.
     """
 
     key: bytes
@@ -144,7 +145,10 @@
 
 
 class KeyAnswer(Message, tag="N"):
-    """A holder's answer, a value of `valeweir_sharing.idempotency_keys.ClaimAnswer`."""
+    """Response to a `KeyClaim`.
+
+    ``answer`` is a value of `valeweir_sharing.idempotency_keys.ClaimAnswer`.
+    """
 
     key: bytes
     request: int
@@ -152,18 +156,18 @@
 
 
 class KeyRelease(Message, tag="R"):
-    """A router gives a key back: its call was certainly not run."""
+    """Releases a key because its request certainly did not run."""
 
     key: bytes
     request: int
 
 
 class KeyQuery(Message, tag="L"):
-    """A router that started empty asks for the claims recorded."""
+    """Requests the recorded claims for a router that started without any."""
 
 
 class KeyRows(Message, tag="W"):
-    """Claims recorded at the sender: (key, request, age in seconds)."""
+    """Claims recorded by the sender, as (key, request, age in seconds)."""
 
     rows: list[tuple[bytes, int, float]]
 
@@ -189,12 +193,12 @@
 
 
 def encode_message(message):
-    """Return the bytes of a message."""
+    """Return the message as MessagePack bytes."""
     return _encoder.encode(message)
 
 
 def decode_message(data):
-    """Return ``(message, None)`` or ``(None, why)`` for bytes off the wire."""
+    """Return ``(message, None)``, or ``(None, reason)`` if the bytes are invalid."""
     if len(data) > MAX_MESSAGE_BYTES:
         return None, "oversized"
     try:
--- a/packages/valeweir_fleet/src/valeweir_fleet/peers.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/peers.py
@@ -1,4 +1,4 @@
-"""Which other routers are there, and which of them are heard from."""
+"""The other routers and their liveness."""
 
 from typing import NamedTuple
 
@@ -8,8 +8,10 @@
 class Peer:
     """One incarnation of another router.
 
-    ``sent_at`` is the latest time of the peer's own clock that it sent;
-    ``echo`` the latest of ours that it answered; ``heard`` when it came.
+    ``sent_at`` is the latest timestamp of the peer's clock in its messages.
+    ``echo`` is the latest timestamp of this router's clock that the peer has
+    echoed. ``heard`` is the time on this router's clock at which the latest
+    message arrived.
     """
 
     __slots__ = (
@@ -41,7 +43,7 @@
 
 
 class Member(NamedTuple):
-    """A host of the system as the settings or the membership list name it."""
+    """A host that is listed in the settings or the membership list."""
 
     host: str
     domain: str
@@ -50,17 +52,18 @@
 
 
 class LivenessChange(NamedTuple):
-    """A peer that came or went."""
+    """A peer that became live or was lost."""
 
     peer: Peer
     live: bool
 
 
 class Peers:
-    """All routers known, by incarnation.
+    """All known routers, by incarnation.
 
-    A peer is live while it is heard from and its echo shows that it hears us:
-    after a cut in one direction both sides count each other as gone.
+    A peer is live while its messages arrive and its echo is recent, which proves
+    that it receives messages too. If one direction of the connection fails, both
+    sides therefore consider each other lost.
     """
 
     def __init__(self, patience):
@@ -72,7 +75,10 @@
         self._replaced_sources = {}
 
     def note(self, message, now):
-        """Take note of a message; return its `Peer`, or None for a replay."""
+        """Record a message; return its `Peer`, or None for a replay.
+
+        Messages of incarnations that have been replaced are rejected too.
+        """
         host = get_host(message.source)
         peer = self.by_source.get(message.source)
         if peer is None:
@@ -91,11 +97,11 @@
         return peer
 
     def set_members(self, members):
-        """Replace the list of hosts that the platform names."""
+        """Replace the list of hosts from the platform."""
         self.members = {member.host: member for member in members}
 
     def get_changes(self, now):
-        """Recompute who is live; return a `LivenessChange` for each that differs."""
+        """Update the liveness of peers; return a `LivenessChange` for each change."""
         changes = []
         for peer in self.by_host.values():
             oldest = now - self.patience
@@ -110,24 +116,24 @@
         return [peer for peer in self.by_host.values() if peer.live]
 
     def is_leaving(self, peer):
-        """Return whether the peer itself or the membership list says so."""
+        """Return whether the peer or the membership list announced its departure."""
         member = self.members.get(peer.host)
         return peer.leaving or (member is not None and member.leaving)
 
     def get_targets(self, own_host):
-        """Return {host: address} of every router worth greeting."""
+        """Return {host: address} of live peers and members, without this host."""
         targets = {p.host: p.address for p in self.by_host.values() if p.live}
         targets |= {m.host: m.address for m in self.members.values()}
         targets.pop(own_host, None)
         return targets
 
     def get_address(self, peer):
-        """Return where to send to a peer: as the platform names it, if it does."""
+        """Return the address of a peer; the membership list has precedence."""
         member = self.members.get(peer.host)
         return member.address if member is not None else peer.address
 
     def find_address(self, host):
-        """Return where to send to a host, or "" where that is unknown."""
+        """Return the address of a host, or "" if it is unknown."""
         member = self.members.get(host)
         if member is not None:
             return member.address
@@ -135,14 +141,14 @@
         return peer.address if peer is not None else ""
 
     def _replace_incarnation(self, host, source, now):
-        """Replace the host's incarnation; False where ``source`` is no later one."""
+        """Replace the host's incarnation; return False if ``source`` is not later."""
         if source in self._replaced_sources:
             return False
         current = self.by_host.get(host)
         if current is None:
             return True
-        # A clock that was set back gives a later start a lower number; then
-        # the silence of the other one tells them apart.
+        # If the clock was set back, a later start has a lower number. The lower
+        # number is then accepted once the current incarnation is silent.
         silent = current.heard < now - self.patience
         if (
             _parse_incarnation_number(current.source)
@@ -159,11 +165,11 @@
 
 
 def get_host(source):
-    """Return the host of an incarnation's name."""
+    """Return the host part of an incarnation's name."""
     return source.partition("#")[0]
 
 
 def _parse_incarnation_number(source):
-    """Return the incarnation's number; a later start has a higher one."""
+    """Return the incarnation's number, which increases with each start."""
     number = source.partition("#")[2]
     return int(number, 36) if number.isalnum() else 0
