--- a/packages/valeweir_upstreams/src/valeweir_upstreams/connections.py
+++ b/packages/valeweir_upstreams/src/valeweir_upstreams/connections.py
@@ -9,8 +9,8 @@
 
 from urllib3.connection import HTTPConnection, HTTPSConnection
 
-_CONNECT_TIMEOUT = 2.0
-_KEEP = 64
+_CONNECT_TIMEOUT_S = 2.0
+_MAX_IDLE_COUNT = 64
 
 
 class Connections:
@@ -37,23 +37,26 @@
         host, _, port = address.rpartition(":")
         if self._ssl_context is not None:
             conn = HTTPSConnection(
-                host, int(port), timeout=_CONNECT_TIMEOUT, ssl_context=self._ssl_context
+                host,
+                int(port),
+                timeout=_CONNECT_TIMEOUT_S,
+                ssl_context=self._ssl_context,
             )
         else:
-            conn = HTTPConnection(host, int(port), timeout=_CONNECT_TIMEOUT)
+            conn = HTTPConnection(host, int(port), timeout=_CONNECT_TIMEOUT_S)
         conn.connect()
         return conn
 
-    def keep(self, address, conn):
+    def put_idle(self, address, conn):
         """Keep a connection whose last exchange ended exactly as it should."""
         with self._lock:
             idle = self._idle.setdefault(address, [])
-            if len(idle) < _KEEP:
+            if len(idle) < _MAX_IDLE_COUNT:
                 idle.append(conn)
                 return
         conn.close()
 
-    def drop(self, address):
+    def close_idle(self, address):
         """Close what is kept for an upstream that is gone."""
         with self._lock:
             idle = self._idle.pop(address, [])
