--- a/packages/valeweir_upstreams/src/valeweir_upstreams/__init__.py
+++ b/packages/valeweir_upstreams/src/valeweir_upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Peer: model engines and plain services, over HTTP."""
+"""HTTP requests to the upstreams: model engines and plain services."""
--- a/packages/valeweir_upstreams/src/valeweir_upstreams/connections.py
+++ b/packages/valeweir_upstreams/src/valeweir_upstreams/connections.py
@@ -1,8 +1,8 @@
-"""Kept connections to upstreams.
+"""Idle connections to upstreams.
 
-urllib3's connection class is used without its pools: whether a failure came
-before or after the first byte of a request decides what the caller is told,
-and a pool with hidden reconnects would blur that.
+urllib3's connection class is used without its pools. The response to the caller
+depends on whether a failure occurred before or after the first byte of a request
+was sent, and a pool that reconnects internally hides this.
 """
 
 import threading
@@ -14,7 +14,7 @@
 
 
 class Connections:
-    """Idle connections by address, last used first."""
+    """Idle connections by address; the most recently used one is taken first."""
 
     def __init__(self, ssl_context=None):
         self._ssl_context = ssl_context
@@ -22,7 +22,7 @@
         self._lock = threading.Lock()
 
     def take_idle(self, address):
-        """Return a kept connection that looks alive, or None."""
+        """Return an idle connection that appears to be open, or None."""
         with self._lock:
             idle = self._idle.get(address, [])
             while idle:
@@ -33,7 +33,7 @@
         return None
 
     def connect(self, address):
-        """Return a new connection; raises OSError or HTTPError where refused."""
+        """Return a new connection; raises OSError or HTTPError if it fails."""
         host, _, port = address.rpartition(":")
         if self._ssl_context is not None:
             conn = HTTPSConnection(
@@ -48,7 +48,10 @@
         return conn
 
     def put_idle(self, address, conn):
-        """Keep a connection whose last exchange ended exactly as it should."""
+        """Store a connection whose last response was read completely.
+
+        The connection is closed if the address has too many idle ones.
+        """
         with self._lock:
             idle = self._idle.setdefault(address, [])
             if len(idle) < _MAX_IDLE_COUNT:
@@ -57,7 +60,7 @@
         conn.close()
 
     def close_idle(self, address):
-        """Close what is kept for an upstream that is gone."""
+        """Close the idle connections to an upstream that was removed."""
         with self._lock:
             idle = self._idle.pop(address, [])
         for conn in idle:
