--- a/packages/valeweir_platform/src/valeweir_platform/adapters.py
+++ b/packages/valeweir_platform/src/valeweir_platform/adapters.py
@@ -41,8 +41,8 @@
 
 
 def create_log(url, timeout):
-    """Return a `Log` client."""
-    return Log(url, _create_pool(timeout))
+    """Return a `LogClient`."""
+    return LogClient(url, _create_pool(timeout))
 
 
 def create_membership(url, timeout):
@@ -56,7 +56,7 @@
     return get_hosts
 
 
-class Log:
+class LogClient:
     """Client of the append-only log."""
 
     def __init__(self, url, pool):
--- a/packages/valeweir_platform/src/valeweir_platform/followers.py
+++ b/packages/valeweir_platform/src/valeweir_platform/followers.py
@@ -13,7 +13,7 @@
 from valeweir.exceptions import AppendUnsettled, PlatformUnavailable
 
 
-class Settled(threading.Event):
+class PendingVerdict(threading.Event):
     """A change whose verdict somebody waits for."""
 
     verdict: Verdict | None = None
@@ -46,28 +46,28 @@
         self._lock = lock
         self._on_change = on_change
         self._on_reached = on_reached
-        self._waiting = {}
+        self._pending = {}
         self.available = False
         self.gap = False
-        self.snapshot_at = 0
-        self._scanned = 0
+        self.snapshot_offset = 0
+        self._scan_offset = 0
         self._caught_up = False
 
-    def run(self, poll, stopped):
+    def run(self, poll_interval_s, stopped):
         """Follow the log until ``stopped``; the body of a thread."""
         while not stopped.is_set():
             try:
-                more = self.follow_once()
+                has_more = self.follow_once()
             except Exception:
                 # The last good configuration stays in force.
                 logger.exception("following the log failed")
-                more = False
-            if not more:
-                stopped.wait(poll)
+                has_more = False
+            if not has_more:
+                stopped.wait(poll_interval_s)
 
     def follow_once(self):
         """Read and fold one batch; return whether there may be more."""
-        start = max(self._configuration.offset, self._scanned)
+        start = max(self._configuration.offset, self._scan_offset)
         try:
             batch = self._log.read(start)
         except (PlatformUnavailable, msgspec.MsgspecError) as exc:
@@ -76,9 +76,9 @@
         self._set_available(True, "")
         with self._lock:
             if batch.first > self._configuration.offset:
-                return self._cross_gap(batch)
+                return self._scan_for_snapshot(batch)
             self.gap = False
-            self._scanned = 0
+            self._scan_offset = 0
             self._fold(batch)
             reached = self._configuration.offset >= batch.next
             if reached:
@@ -100,27 +100,27 @@
         PlatformUnavailable
             The change is certainly not on the log.
         """
-        settled = Settled()
+        pending = PendingVerdict()
         with self._lock:
-            known = self._configuration.verdicts.get(change.id)
-            if known is not None:
-                return known
-            self._waiting[change.id] = settled
+            known_verdict = self._configuration.verdicts.get(change.id)
+            if known_verdict is not None:
+                return known_verdict
+            self._pending[change.id] = pending
         try:
             self._log.append({"change": msgspec.to_builtins(change)})
         except AppendUnsettled:
             pass
         except PlatformUnavailable:
             with self._lock:
-                self._waiting.pop(change.id, None)
+                self._pending.pop(change.id, None)
             raise
         deadline = time.monotonic() + timeout
-        while not settled.is_set() and time.monotonic() < deadline:
+        while not pending.is_set() and time.monotonic() < deadline:
             self.follow_once()
-            settled.wait(0.05)
+            pending.wait(0.05)
         with self._lock:
-            self._waiting.pop(change.id, None)
-        return settled.verdict
+            self._pending.pop(change.id, None)
+        return pending.verdict
 
     def _fold(self, batch):
         before = self._configuration.offset
@@ -129,16 +129,16 @@
                 continue
             kind, value = decode_record(record.body)
             if kind == "snapshot":
-                self.snapshot_at = record.offset
+                self.snapshot_offset = record.offset
             verdict = self._configuration.fold(
                 record.offset, value if kind == "change" else None
             )
             if kind == "change":
-                self._settle(value, verdict)
+                self._complete_change(value, verdict)
         if self._configuration.offset != before:
             self._on_change()
 
-    def _cross_gap(self, batch):
+    def _scan_for_snapshot(self, batch):
         """Look for a snapshot after records that expired unread.
 
         Folding what is left would give a view that no other router has.
@@ -148,16 +148,16 @@
             logger.bind(offset=offset, first=batch.first).warning("log expired")
         self.gap = True
         for record in batch.records:
-            self._scanned = record.offset + 1
+            self._scan_offset = record.offset + 1
             kind, view = decode_record(record.body)
             if kind != "snapshot" or view.offset < batch.first:
                 continue
             if self._configuration.adopt(view):
                 logger.bind(offset=view.offset).info("snapshot adopted")
-                self._scanned = 0
+                self._scan_offset = 0
                 self._on_change()
                 return True
-        return self._scanned < batch.next
+        return self._scan_offset < batch.next
 
     def write_snapshot(self):
         """Append the view in force, so that older records may expire."""
@@ -170,9 +170,9 @@
 
     def get_records_since_snapshot(self):
         """Return how many records were folded since the last snapshot."""
-        return self._configuration.offset - self.snapshot_at
+        return self._configuration.offset - self.snapshot_offset
 
-    def _settle(self, change, verdict):
+    def _complete_change(self, change, verdict):
         # What was there before this daemon started is no change of state here.
         level = "INFO" if self._caught_up else "DEBUG"
         logger.bind(
@@ -183,12 +183,12 @@
             version=verdict.version,
             author=change.author,
         ).log(level, "change folded")
-        settled = self._waiting.get(change.id)
-        if settled is not None:
-            settled.verdict = verdict
-            settled.set()
+        pending = self._pending.get(change.id)
+        if pending is not None:
+            pending.verdict = verdict
+            pending.set()
 
-    def _set_available(self, available, why):
+    def _set_available(self, available, reason):
         if available != self.available:
-            logger.bind(available=available, why=why).warning("log service")
+            logger.bind(available=available, why=reason).warning("log service")
         self.available = available
