--- a/packages/valeweir_platform/src/valeweir_platform/__init__.py
+++ b/packages/valeweir_platform/src/valeweir_platform/__init__.py
@@ -1,1 +1,1 @@
-"""Peer: the platform's log service and membership list."""
+"""Clients of the platform's log service and membership list."""
--- a/packages/valeweir_platform/src/valeweir_platform/adapters.py
+++ b/packages/valeweir_platform/src/valeweir_platform/adapters.py
@@ -1,6 +1,6 @@
 """Thin HTTP clients of the platform's services, one function per call.
 
-Another wire form costs only this file.
+A change of the wire format affects only this module.
 """
 
 from typing import NamedTuple
@@ -21,8 +21,8 @@
 class Batch(NamedTuple):
     """Records read from the log.
 
-    ``first`` is the oldest offset still kept and ``next`` the one that the
-    next append gets.
+    ``first`` is the oldest offset that has not expired, and ``next`` is the
+    offset of the next append.
     """
 
     first: int
@@ -31,7 +31,7 @@
 
 
 class Host(NamedTuple):
-    """A line of the membership list."""
+    """An entry of the membership list."""
 
     host: str
     domain: str
@@ -71,7 +71,7 @@
         PlatformUnavailable
             The record was not appended.
         AppendUnsettled
-            It may or may not have been: look for it on the log.
+            It is unknown whether the record was appended; read the log to find out.
         """
         data = msgspec.json.encode(body)
         try:
@@ -88,13 +88,13 @@
             metrics.platform_errors.labels("log").inc()
             raise AppendUnsettled(str(exc)) from exc
         if resp.status == 503:
-            raise PlatformUnavailable("the log takes no appends")
+            raise PlatformUnavailable("the log service rejects appends")
         if resp.status != 200:
-            raise AppendUnsettled(f"the log answered {resp.status}")
+            raise AppendUnsettled(f"the log service returned status {resp.status}")
         return msgspec.json.decode(resp.data)["offset"]
 
     def read(self, offset):
-        """Return the `Batch` of records from ``offset`` on."""
+        """Return the `Batch` of records that starts at ``offset``."""
         url = f"{self._url}/records?from={offset}"
         resp = _request(self._pool, "log", "GET", url)
         return msgspec.json.decode(resp.data, type=Batch)
@@ -114,5 +114,5 @@
         raise PlatformUnavailable(str(exc)) from exc
     if resp.status != 200:
         metrics.platform_errors.labels(service).inc()
-        raise PlatformUnavailable(f"{service} answered {resp.status}")
+        raise PlatformUnavailable(f"{service} service returned status {resp.status}")
     return resp
--- a/packages/valeweir_platform/src/valeweir_platform/followers.py
+++ b/packages/valeweir_platform/src/valeweir_platform/followers.py
@@ -1,7 +1,7 @@
-"""Reading the log to its end, over and over, and writing to it once.
+"""Follower of the log, which reads its records and appends changes.
 
-The follower is the only one that folds; whoever appends waits until the
-follower has met its change id on the log.
+Only the follower folds records into the configuration. An append therefore waits
+until the follower has read the record with its change ID.
 """
 
 import threading
@@ -14,7 +14,7 @@
 
 
 class PendingVerdict(threading.Event):
-    """A change whose verdict somebody waits for."""
+    """Event that is set when the verdict on an appended change is known."""
 
     verdict: Verdict | None = None
 
@@ -31,13 +31,13 @@
     on_change : callable
         Called with the lock held after the configuration has changed.
     on_reached : callable
-        Called with the lock held when the end of the log was reached.
+        Called with the lock held when the end of the log has been reached.
 
     Attributes
     ----------
     gap : bool
-        Whether records expired before they were read, and no snapshot or peer
-        has made up for them yet.
+        Whether records expired before they were read, and no snapshot or view
+        from a peer has replaced them yet.
     """
 
     def __init__(self, log, configuration, lock, on_change, on_reached):
@@ -54,12 +54,12 @@
         self._caught_up = False
 
     def run(self, poll_interval_s, stopped):
-        """Follow the log until ``stopped``; the body of a thread."""
+        """Follow the log until ``stopped`` is set; the target of a thread."""
         while not stopped.is_set():
             try:
                 has_more = self.follow_once()
             except Exception:
-                # The last good configuration stays in force.
+                # The last valid configuration stays in force.
                 logger.exception("following the log failed")
                 has_more = False
             if not has_more:
@@ -92,13 +92,13 @@
         Returns
         -------
         Verdict or None
-            None where the append may have taken effect but has not been seen:
-            the change id settles it later.
+            None if the append may have taken effect but was not read in time;
+            the verdict is found later by the change ID.
 
         Raises
         ------
         PlatformUnavailable
-            The change is certainly not on the log.
+            The change was certainly not appended to the log.
         """
         pending = PendingVerdict()
         with self._lock:
@@ -139,9 +139,10 @@
             self._on_change()
 
     def _scan_for_snapshot(self, batch):
-        """Look for a snapshot after records that expired unread.
+        """Search for a snapshot after records have expired unread.
 
-        Folding what is left would give a view that no other router has.
+        Folding only the remaining records would produce a configuration that no
+        other router has.
         """
         if not self.gap:
             offset = self._configuration.offset
@@ -160,7 +161,7 @@
         return self._scan_offset < batch.next
 
     def write_snapshot(self):
-        """Append the view in force, so that older records may expire."""
+        """Append a snapshot of the configuration, so that older records may expire."""
         with self._lock:
             view = msgspec.to_builtins(self._configuration.get_view())
         try:
@@ -169,11 +170,11 @@
             logger.bind(why=str(exc)).warning("snapshot not written")
 
     def get_records_since_snapshot(self):
-        """Return how many records were folded since the last snapshot."""
+        """Return the number of records folded since the last snapshot."""
         return self._configuration.offset - self.snapshot_offset
 
     def _complete_change(self, change, verdict):
-        # What was there before this daemon started is no change of state here.
+        # Records from before the start of this daemon do not change its state.
         level = "INFO" if self._caught_up else "DEBUG"
         logger.bind(
             kind=change.kind,
