--- a/packages/valeweir_callers/src/valeweir_callers/demands.py
+++ b/packages/valeweir_callers/src/valeweir_callers/demands.py
@@ -16,7 +16,7 @@
 MODEL_PATHS = ("/v1/chat/completions", "/v1/completions")
 SERVICE_PREFIX = "/services/"
 _PREFIX_BYTES = 512
-_MAX_DEADLINE = 3600.0
+_MAX_DEADLINE_S = 3600.0
 
 
 class ModelBody(msgspec.Struct):
@@ -26,7 +26,7 @@
     stream: bool = False
 
 
-class Usage(msgspec.Struct):
+class TokenUsage(msgspec.Struct):
     """Token counts that an engine reports with its answer."""
 
     prompt_tokens: int = 0
@@ -36,10 +36,10 @@
 class UsageBody(msgspec.Struct):
     """An answer, or an event of a stream, that may carry usage."""
 
-    usage: Usage | None = None
+    usage: TokenUsage | None = None
 
 
-class Demand(NamedTuple):
+class ParsedRequest(NamedTuple):
     """What a request asks for, before its account is known.
 
     ``pool`` is a model's name or a plain service's; ``deadline`` in seconds
@@ -60,7 +60,7 @@
 
 
 def parse_demand(request, default_deadline):
-    """Return the `Demand` of a request, or a `Refusal`."""
+    """Return the `ParsedRequest` of a request, or a `Refusal`."""
     deadline = _parse_deadline(request.headers, default_deadline)
     if isinstance(deadline, Refusal):
         return deadline
@@ -85,7 +85,7 @@
 
 
 def get_unary_usage(body):
-    """Return the `Usage` in a whole answer, or None."""
+    """Return the `TokenUsage` in a whole answer, or None."""
     try:
         return _usage_decoder.decode(body).usage
     except (msgspec.DecodeError, msgspec.ValidationError):
@@ -113,7 +113,7 @@
 class StreamMeter:
     """Counts the events of a server-sent stream and looks for its end mark."""
 
-    END = b"data: [DONE]"
+    END_MARKER = b"data: [DONE]"
 
     def __init__(self):
         self.events = 0
@@ -125,16 +125,16 @@
         """Take in bytes of the stream; return the number of new events."""
         data = self._tail + part
         *blocks, self._tail = data.split(b"\n\n")
-        new = 0
+        new_event_count = 0
         for block in blocks:
-            if block == self.END:
+            if block == self.END_MARKER:
                 self.ended = True
             elif block.startswith(b"data:"):
-                new += 1
+                new_event_count += 1
                 if b'"usage"' in block:
                     self.usage = get_unary_usage(block[5:]) or self.usage
-        self.events += new
-        return new
+        self.events += new_event_count
+        return new_event_count
 
 
 def _parse_deadline(headers, default):
@@ -142,17 +142,17 @@
     if text is None:
         return default
     try:
-        seconds = float(text)
+        deadline_s = float(text)
     except ValueError:
-        seconds = -1.0
-    if not 0 < seconds <= _MAX_DEADLINE:
+        deadline_s = -1.0
+    if not 0 < deadline_s <= _MAX_DEADLINE_S:
         return Refusal(
             400,
             "bad-deadline",
-            f"{DEADLINE_HEADER} is not a number of seconds up to {_MAX_DEADLINE:g}",
+            f"{DEADLINE_HEADER} is not a number of seconds up to {_MAX_DEADLINE_S:g}",
             "send the seconds you will wait, or leave the header out",
         )
-    return seconds
+    return deadline_s
 
 
 def _parse_class(headers, default):
@@ -182,7 +182,7 @@
     if isinstance(work_class, Refusal):
         return work_class
     prefix = hashlib.blake2b(request.body[:_PREFIX_BYTES], digest_size=8).hexdigest()
-    return Demand(
+    return ParsedRequest(
         body.model, True, request.target, work_class, deadline, body.stream, prefix
     )
 
@@ -195,4 +195,4 @@
     target = request.target[len(SERVICE_PREFIX) + len(name) :] or "/"
     if not target.startswith("/"):
         target = "/" + target
-    return Demand(name, False, target, work_class, deadline, False, "")
+    return ParsedRequest(name, False, target, work_class, deadline, False, "")
