--- a/packages/valeweir_callers/src/valeweir_callers/__init__.py
+++ b/packages/valeweir_callers/src/valeweir_callers/__init__.py
@@ -1,1 +1,1 @@
-"""Peer: callers, over HTTP in the form that model clients already speak."""
+"""HTTP protocol for callers, compatible with existing model clients."""
--- a/packages/valeweir_callers/src/valeweir_callers/demands.py
+++ b/packages/valeweir_callers/src/valeweir_callers/demands.py
@@ -1,4 +1,4 @@
-"""What callers send and get: paths, classes, errors, the cost in an answer."""
+"""HTTP protocol for callers: paths, request headers, errors and token usage."""
 
 import hashlib
 from typing import NamedTuple
@@ -20,30 +20,30 @@
 
 
 class ModelBody(msgspec.Struct):
-    """The part of a model call's body that is looked at; the rest passes by."""
+    """Fields of a model call's body that are parsed; all others are ignored."""
 
     model: str
     stream: bool = False
 
 
 class TokenUsage(msgspec.Struct):
-    """Token counts that an engine reports with its answer."""
+    """Token counts that an engine reports in its response."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
 
 
 class UsageBody(msgspec.Struct):
-    """An answer, or an event of a stream, that may carry usage."""
+    """Response body or stream event that may contain the usage."""
 
     usage: TokenUsage | None = None
 
 
 class ParsedRequest(NamedTuple):
-    """What a request asks for, before its account is known.
+    """Parameters of a request, parsed from its path, headers and body.
 
-    ``pool`` is a model's name or a plain service's; ``deadline`` in seconds
-    from now.
+    ``pool`` is the name of a model or a plain service. ``deadline`` is in
+    seconds from now. ``prefix`` is a hash of the start of a model call's body.
     """
 
     pool: str
@@ -77,7 +77,7 @@
 
 
 def get_bearer(headers):
-    """Return the SHA-256 of the bearer key, or None."""
+    """Return the SHA-256 of the bearer key in hexadecimal, or None."""
     scheme, _, key = headers.get("Authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key.strip():
         return None
@@ -85,7 +85,7 @@
 
 
 def get_unary_usage(body):
-    """Return the `TokenUsage` in a whole answer, or None."""
+    """Return the `TokenUsage` in a response body or a stream event, or None."""
     try:
         return _usage_decoder.decode(body).usage
     except (msgspec.DecodeError, msgspec.ValidationError):
@@ -93,7 +93,7 @@
 
 
 def send_refusal(reply, refusal, request_id):
-    """Answer a request that was not served, in the form model clients expect."""
+    """Send the response for a refusal in the format that model clients expect."""
     headers = [
         (OUTCOME_HEADER, refusal.outcome.value),
         (REQUEST_ID_HEADER, request_id),
@@ -111,7 +111,10 @@
 
 
 class StreamMeter:
-    """Counts the events of a server-sent stream and looks for its end mark."""
+    """Counts the events of a server-sent event stream and detects its end marker.
+
+    ``usage`` is the last `TokenUsage` in the stream, or None.
+    """
 
     END_MARKER = b"data: [DONE]"
 
@@ -122,7 +125,7 @@
         self._tail = b""
 
     def feed(self, part):
-        """Take in bytes of the stream; return the number of new events."""
+        """Parse the next bytes of the stream; return the number of new events."""
         data = self._tail + part
         *blocks, self._tail = data.split(b"\n\n")
         new_event_count = 0
@@ -173,11 +176,18 @@
 
 def _parse_model_call(request, deadline):
     if request.method != "POST":
-        return Refusal(405, "bad-method", "model calls are POST", "use POST")
+        return Refusal(
+            405, "bad-method", "model calls require the method POST", "use POST"
+        )
     try:
         body = _model_decoder.decode(request.body)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as exc:
-        return Refusal(400, "bad-body", f"the body is no model call: {exc}", "mend it")
+        return Refusal(
+            400,
+            "bad-body",
+            f"the body is no model call: {exc}",
+            "mend it",
+        )
     work_class = _parse_class(request.headers, WorkClass.CHAT)
     if isinstance(work_class, Refusal):
         return work_class
