--- a/packages/valeweir_fleet/src/valeweir_fleet/messages.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/messages.py
@@ -110,11 +110,11 @@
 
 
 class HistoryQuery(Message, tag="H"):
-    """Requests the service of past incarnations for a router without history."""
+    """Requests the service of past incarnations for a router that started empty."""
 
 
 class Past(msgspec.Struct, frozen=True, array_like=True):
-    """Service to one account in one pool that no live router reports."""
+    """Service received by an account in a pool that no live router reports."""
 
     pool: str
     account: int
--- a/packages/valeweir_platform/src/valeweir_platform/followers.py
+++ b/packages/valeweir_platform/src/valeweir_platform/followers.py
@@ -24,13 +24,13 @@
 
     Parameters
     ----------
-    log : valeweir_platform.adapters.Log
+    log : valeweir_platform.adapters.LogClient
     configuration : valeweir.configuration.Configuration
     lock : threading.RLock
         Guards the configuration.
     on_change : callable
         Called with the lock held after the configuration has changed.
-    on_reached : callable
+    on_caught_up : callable
         Called with the lock held when the end of the log has been reached.
 
     Attributes
