--- a/packages/valeweir_callers/src/valeweir_callers/demands.py
+++ b/packages/valeweir_callers/src/valeweir_callers/demands.py
@@ -1,4 +1,4 @@
-"""What callers send and get: paths, classes, errors, the cost in an answer."""
+"""HTTP protocol for callers: paths, request headers, errors and token usage."""
 
 import hashlib
 from typing import NamedTuple
@@ -16,34 +16,34 @@
 MODEL_PATHS = ("/v1/chat/completions", "/v1/completions")
 SERVICE_PREFIX = "/services/"
 _PREFIX_BYTES = 512
-_MAX_DEADLINE = 3600.0
+_MAX_DEADLINE_S = 3600.0
 
 
 class ModelBody(msgspec.Struct):
-    """The part of a model call's body that is looked at; the rest passes by."""
+    """Fields of a model call's body that are parsed; all others are ignored."""
 
     model: str
     stream: bool = False
 
 
-class Usage(msgspec.Struct):
-    """Token counts that an engine reports with its answer."""
+class TokenUsage(msgspec.Struct):
+    """Token counts that an engine reports in its response."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
 
 
 class UsageBody(msgspec.Struct):
-    """An answer, or an event of a stream, that may carry usage."""
+    """Response body or stream event that may contain the usage."""
 
-    usage: Usage | None = None
+    usage: TokenUsage | None = None
 
 
-class Demand(NamedTuple):
-    """What a request asks for, before its account is known.
+class ParsedRequest(NamedTuple):
+    """Parameters of a request, parsed from its path, headers and body.
 
-    ``pool`` is a model's name or a plain service's; ``deadline`` in seconds
-    from now.
+    ``pool`` is the name of a model or a plain service. ``deadline`` is in
+    seconds from now. ``prefix`` is a hash of the start of a model call's body.
     """
 
     pool: str
@@ -60,7 +60,7 @@
 
 
 def parse_demand(request, default_deadline):
-    """Return the `Demand` of a request, or a `Refusal`."""
+    """Return the `ParsedRequest` of a request, or a `Refusal`."""
     deadline = _parse_deadline(request.headers, default_deadline)
     if isinstance(deadline, Refusal):
         return deadline
@@ -77,7 +77,7 @@
 
 
 def get_bearer(headers):
-    """Return the SHA-256 of the bearer key, or None."""
+    """Return the SHA-256 of the bearer key in hexadecimal, or None."""
     scheme, _, key = headers.get("Authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key.strip():
         return None
@@ -85,7 +85,7 @@
 
 
 def get_unary_usage(body):
-    """Return the `Usage` in a whole answer, or None."""
+    """Return the `TokenUsage` in a response body or a stream event, or None."""
     try:
         return _usage_decoder.decode(body).usage
     except (msgspec.DecodeError, msgspec.ValidationError):
@@ -93,7 +93,7 @@
 
 
 def send_refusal(reply, refusal, request_id):
-    """Answer a request that was not served, in the form model clients expect."""
+    """Send the response for a refusal in the format that model clients expect."""
     headers = [
         (OUTCOME_HEADER, refusal.outcome.value),
         (REQUEST_ID_HEADER, request_id),
@@ -111,9 +111,12 @@
 
 
 class StreamMeter:
-    """Counts the events of a server-sent stream and looks for its end mark."""
+    """Counts the events of a server-sent event stream and detects its end marker.
 
-    END = b"data: [DONE]"
+    ``usage`` is the last `TokenUsage` in the stream, or None.
+    """
+
+    END_MARKER = b"data: [DONE]"
 
     def __init__(self):
         self.events = 0
@@ -122,19 +125,19 @@
         self._tail = b""
 
     def feed(self, part):
-        """Take in bytes of the stream; return the number of new events."""
+        """Parse the next bytes of the stream; return the number of new events."""
         data = self._tail + part
         *blocks, self._tail = data.split(b"\n\n")
-        new = 0
+        new_event_count = 0
         for block in blocks:
-            if block == self.END:
+            if block == self.END_MARKER:
                 self.ended = True
             elif block.startswith(b"data:"):
-                new += 1
+                new_event_count += 1
                 if b'"usage"' in block:
                     self.usage = get_unary_usage(block[5:]) or self.usage
-        self.events += new
-        return new
+        self.events += new_event_count
+        return new_event_count
 
 
 def _parse_deadline(headers, default):
@@ -142,17 +145,17 @@
     if text is None:
         return default
     try:
-        seconds = float(text)
+        deadline_s = float(text)
     except ValueError:
-        seconds = -1.0
-    if not 0 < seconds <= _MAX_DEADLINE:
+        deadline_s = -1.0
+    if not 0 < deadline_s <= _MAX_DEADLINE_S:
         return Refusal(
             400,
             "bad-deadline",
-            f"{DEADLINE_HEADER} is not a number of seconds up to {_MAX_DEADLINE:g}",
+            f"{DEADLINE_HEADER} is not a number of seconds up to {_MAX_DEADLINE_S:g}",
             "send the seconds you will wait, or leave the header out",
         )
-    return seconds
+    return deadline_s
 
 
 def _parse_class(headers, default):
@@ -173,16 +176,23 @@
 
 def _parse_model_call(request, deadline):
     if request.method != "POST":
-        return Refusal(405, "bad-method", "model calls are POST", "use POST")
+        return Refusal(
+            405, "bad-method", "model calls require the method POST", "use POST"
+        )
     try:
         body = _model_decoder.decode(request.body)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as exc:
-        return Refusal(400, "bad-body", f"the body is no model call: {exc}", "mend it")
+        return Refusal(
+            400,
+            "bad-body",
+            f"the body is no model call: {exc}",
+            "mend it",
+        )
     work_class = _parse_class(request.headers, WorkClass.CHAT)
     if isinstance(work_class, Refusal):
         return work_class
     prefix = hashlib.blake2b(request.body[:_PREFIX_BYTES], digest_size=8).hexdigest()
-    return Demand(
+    return ParsedRequest(
         body.model, True, request.target, work_class, deadline, body.stream, prefix
     )
 
@@ -195,4 +205,4 @@
     target = request.target[len(SERVICE_PREFIX) + len(name) :] or "/"
     if not target.startswith("/"):
         target = "/" + target
-    return Demand(name, False, target, work_class, deadline, False, "")
+    return ParsedRequest(name, False, target, work_class, deadline, False, "")
--- a/packages/valeweir_fleet/src/valeweir_fleet/peers.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/peers.py
@@ -1,15 +1,17 @@
-"""Which other routers are there, and which of them are heard from."""
+"""The other routers and their liveness."""
 
 from typing import NamedTuple
 
-_REMEMBERED = 5000
+_MAX_REPLACED_COUNT = 5000
 
 
 class Peer:
     """One incarnation of another router.
 
-    ``sent_at`` is the latest time of the peer's own clock that it sent;
-    ``echo`` the latest of ours that it answered; ``heard`` when it came.
+    ``sent_at`` is the latest timestamp of the peer's clock in its messages.
+    ``echo`` is the latest timestamp of this router's clock that the peer has
+    echoed. ``heard`` is the time on this router's clock at which the latest
+    message arrived.
     """
 
     __slots__ = (
@@ -41,7 +43,7 @@
 
 
 class Member(NamedTuple):
-    """A host of the system as the settings or the membership list name it."""
+    """A host that is listed in the settings or the membership list."""
 
     host: str
     domain: str
@@ -49,18 +51,19 @@
     leaving: bool = False
 
 
-class Change(NamedTuple):
-    """A peer that came or went."""
+class LivenessChange(NamedTuple):
+    """A peer that became live or was lost."""
 
     peer: Peer
     live: bool
 
 
 class Peers:
-    """All routers known, by incarnation.
+    """All known routers, by incarnation.
 
-    A peer is live while it is heard from and its echo shows that it hears us:
-    after a cut in one direction both sides count each other as gone.
+    A peer is live while its messages arrive and its echo is recent, which proves
+    that it receives messages too. If one direction of the connection fails, both
+    sides therefore consider each other lost.
     """
 
     def __init__(self, patience):
@@ -69,14 +72,17 @@
         self.by_host = {}
         self.members = {}
         self.replaced = []
-        self._replaced_names = {}
+        self._replaced_sources = {}
 
     def note(self, message, now):
-        """Take note of a message; return its `Peer`, or None for a replay."""
+        """Record a message; return its `Peer`, or None for a replay.
+
+        Messages of incarnations that have been replaced are rejected too.
+        """
         host = get_host(message.source)
         peer = self.by_source.get(message.source)
         if peer is None:
-            if not self._make_way(host, message.source, now):
+            if not self._replace_incarnation(host, message.source, now):
                 return None
             peer = Peer(message.source, host)
             self.by_source[message.source] = peer
@@ -91,18 +97,18 @@
         return peer
 
     def set_members(self, members):
-        """Replace the list of hosts that the platform names."""
+        """Replace the list of hosts from the platform."""
         self.members = {member.host: member for member in members}
 
     def get_changes(self, now):
-        """Recompute who is live; return a `Change` for each that differs."""
+        """Update the liveness of peers; return a `LivenessChange` for each change."""
         changes = []
         for peer in self.by_host.values():
             oldest = now - self.patience
             live = peer.heard > oldest and peer.echo > oldest and bool(peer.address)
             if live != peer.live:
                 peer.live = live
-                changes.append(Change(peer, live))
+                changes.append(LivenessChange(peer, live))
         return changes
 
     def get_live(self):
@@ -110,56 +116,60 @@
         return [peer for peer in self.by_host.values() if peer.live]
 
     def is_leaving(self, peer):
-        """Return whether the peer itself or the membership list says so."""
+        """Return whether the peer or the membership list announced its departure."""
         member = self.members.get(peer.host)
         return peer.leaving or (member is not None and member.leaving)
 
     def get_targets(self, own_host):
-        """Return {host: address} of every router worth greeting."""
+        """Return {host: address} of live peers and members, without this host."""
         targets = {p.host: p.address for p in self.by_host.values() if p.live}
         targets |= {m.host: m.address for m in self.members.values()}
         targets.pop(own_host, None)
         return targets
 
     def get_address(self, peer):
-        """Return where to send to a peer: as the platform names it, if it does."""
+        """Return the address of a peer; the membership list has precedence."""
         member = self.members.get(peer.host)
         return member.address if member is not None else peer.address
 
     def find_address(self, host):
-        """Return where to send to a host, or "" where that is unknown."""
+        """Return the address of a host, or "" if it is unknown."""
         member = self.members.get(host)
         if member is not None:
             return member.address
         peer = self.by_host.get(host)
         return peer.address if peer is not None else ""
 
-    def _make_way(self, host, source, now):
-        """Replace the host's incarnation; False where ``source`` is no later one."""
-        if source in self._replaced_names:
+    def _replace_incarnation(self, host, source, now):
+        """Replace the host's incarnation; return False if ``source`` is not later."""
+        if source in self._replaced_sources:
             return False
         current = self.by_host.get(host)
         if current is None:
             return True
-        # A clock that was set back gives a later start a lower number; then
-        # the silence of the other one tells them apart.
+        # If the clock was set back, a later start has a lower number. The lower
+        # number is then accepted once the current incarnation is silent.
         silent = current.heard < now - self.patience
-        if _number(current.source) > _number(source) and not silent:
+        if (
+            _parse_incarnation_number(current.source)
+            > _parse_incarnation_number(source)
+            and not silent
+        ):
             return False
         del self.by_source[current.source]
         self.replaced.append(current)
-        self._replaced_names[current.source] = None
-        if len(self._replaced_names) > _REMEMBERED:
-            self._replaced_names.pop(next(iter(self._replaced_names)))
+        self._replaced_sources[current.source] = None
+        if len(self._replaced_sources) > _MAX_REPLACED_COUNT:
+            self._replaced_sources.pop(next(iter(self._replaced_sources)))
         return True
 
 
 def get_host(source):
-    """Return the host of an incarnation's name."""
+    """Return the host part of an incarnation's name."""
     return source.partition("#")[0]
 
 
-def _number(source):
-    """Return the incarnation's number; a later start has a higher one."""
+def _parse_incarnation_number(source):
+    """Return the incarnation's number, which increases with each start."""
     number = source.partition("#")[2]
     return int(number, 36) if number.isalnum() else 0
--- a/packages/valeweir_platform/src/valeweir_platform/followers.py
+++ b/packages/valeweir_platform/src/valeweir_platform/followers.py
@@ -1,7 +1,7 @@
-"""Reading the log to its end, over and over, and writing to it once.
+"""Follower of the log, which reads its records and appends changes.
 
-The follower is the only one that folds; whoever appends waits until the
-follower has met its change id on the log.
+Only the follower folds records into the configuration. An append therefore waits
+until the follower has read the record with its change ID.
 """
 
 import threading
@@ -13,8 +13,8 @@
 from valeweir.exceptions import AppendOutcomeUnknown, PlatformUnavailable
 
 
-class Settled(threading.Event):
-    """A change whose verdict somebody waits for."""
+class PendingVerdict(threading.Event):
+    """Event that is set when the verdict on an appended change is known."""
 
     verdict: Verdict | None = None
 
@@ -24,20 +24,20 @@
 
     Parameters
     ----------
-    log : valeweir_platform.adapters.Log
+    log : valeweir_platform.adapters.LogClient
     configuration : valeweir.configuration.Configuration
     lock : threading.RLock
         Guards the configuration.
     on_change : callable
         Called with the lock held after the configuration has changed.
-    on_reached : callable
-        Called with the lock held when the end of the log was reached.
+    on_caught_up : callable
+        Called with the lock held when the end of the log has been reached.
 
     Attributes
     ----------
     gap : bool
-        Whether records expired before they were read, and no snapshot or peer
-        has made up for them yet.
+        Whether records expired before they were read, and no snapshot or view
+        from a peer has replaced them yet.
     """
 
     def __init__(self, log, configuration, lock, on_change, on_reached):
@@ -46,28 +46,28 @@
         self._lock = lock
         self._on_change = on_change
         self._on_reached = on_reached
-        self._waiting = {}
+        self._pending = {}
         self.available = False
         self.gap = False
-        self.snapshot_at = 0
-        self._scanned = 0
+        self.snapshot_offset = 0
+        self._scan_offset = 0
         self._caught_up = False
 
-    def run(self, poll, stopped):
-        """Follow the log until ``stopped``; the body of a thread."""
+    def run(self, poll_interval_s, stopped):
+        """Follow the log until ``stopped`` is set; the target of a thread."""
         while not stopped.is_set():
             try:
-                more = self.follow_once()
+                has_more = self.follow_once()
             except Exception:
-                # The last good configuration stays in force.
+                # The last valid configuration stays in force.
                 logger.exception("following the log failed")
-                more = False
-            if not more:
-                stopped.wait(poll)
+                has_more = False
+            if not has_more:
+                stopped.wait(poll_interval_s)
 
     def follow_once(self):
         """Read and fold one batch; return whether there may be more."""
-        start = max(self._configuration.offset, self._scanned)
+        start = max(self._configuration.offset, self._scan_offset)
         try:
             batch = self._log.read(start)
         except (PlatformUnavailable, msgspec.MsgspecError) as exc:
@@ -76,9 +76,9 @@
         self._set_available(True, "")
         with self._lock:
             if batch.first > self._configuration.offset:
-                return self._cross_gap(batch)
+                return self._scan_for_snapshot(batch)
             self.gap = False
-            self._scanned = 0
+            self._scan_offset = 0
             self._fold(batch)
             reached = self._configuration.offset >= batch.next
             if reached:
@@ -92,35 +92,35 @@
         Returns
         -------
         Verdict or None
-            None where the append may have taken effect but has not been seen:
-            the change id settles it later.
+            None if the append may have taken effect but was not read in time;
+            the verdict is found later by the change ID.
 
         Raises
         ------
         PlatformUnavailable
-            The change is certainly not on the log.
+            The change was certainly not appended to the log.
         """
-        settled = Settled()
+        pending = PendingVerdict()
         with self._lock:
-            known = self._configuration.verdicts.get(change.id)
-            if known is not None:
-                return known
-            self._waiting[change.id] = settled
+            known_verdict = self._configuration.verdicts.get(change.id)
+            if known_verdict is not None:
+                return known_verdict
+            self._pending[change.id] = pending
         try:
             self._log.append({"change": msgspec.to_builtins(change)})
         except AppendOutcomeUnknown:
             pass
         except PlatformUnavailable:
             with self._lock:
-                self._waiting.pop(change.id, None)
+                self._pending.pop(change.id, None)
             raise
         deadline = time.monotonic() + timeout
-        while not settled.is_set() and time.monotonic() < deadline:
+        while not pending.is_set() and time.monotonic() < deadline:
             self.follow_once()
-            settled.wait(0.05)
+            pending.wait(0.05)
         with self._lock:
-            self._waiting.pop(change.id, None)
-        return settled.verdict
+            self._pending.pop(change.id, None)
+        return pending.verdict
 
     def _fold(self, batch):
         before = self._configuration.offset
@@ -129,38 +129,39 @@
                 continue
             kind, value = decode_record(record.body)
             if kind == "snapshot":
-                self.snapshot_at = record.offset
+                self.snapshot_offset = record.offset
             verdict = self._configuration.apply_change(
                 record.offset, value if kind == "change" else None
             )
             if kind == "change":
-                self._settle(value, verdict)
+                self._complete_change(value, verdict)
         if self._configuration.offset != before:
             self._on_change()
 
-    def _cross_gap(self, batch):
-        """Look for a snapshot after records that expired unread.
+    def _scan_for_snapshot(self, batch):
+        """Search for a snapshot after records have expired unread.
 
-        Folding what is left would give a view that no other router has.
+        Folding only the remaining records would produce a configuration that no
+        other router has.
         """
         if not self.gap:
             offset = self._configuration.offset
             logger.bind(offset=offset, first=batch.first).warning("log expired")
         self.gap = True
         for record in batch.records:
-            self._scanned = record.offset + 1
+            self._scan_offset = record.offset + 1
             kind, view = decode_record(record.body)
             if kind != "snapshot" or view.offset < batch.first:
                 continue
             if self._configuration.adopt(view):
                 logger.bind(offset=view.offset).info("snapshot adopted")
-                self._scanned = 0
+                self._scan_offset = 0
                 self._on_change()
                 return True
-        return self._scanned < batch.next
+        return self._scan_offset < batch.next
 
     def write_snapshot(self):
-        """Append the view in force, so that older records may expire."""
+        """Append a snapshot of the configuration, so that older records may expire."""
         with self._lock:
             view = msgspec.to_builtins(self._configuration.get_view())
         try:
@@ -169,11 +170,11 @@
             logger.bind(why=str(exc)).warning("snapshot not written")
 
     def get_records_since_snapshot(self):
-        """Return how many records were folded since the last snapshot."""
-        return self._configuration.offset - self.snapshot_at
+        """Return the number of records folded since the last snapshot."""
+        return self._configuration.offset - self.snapshot_offset
 
-    def _settle(self, change, verdict):
-        # What was there before this daemon started is no change of state here.
+    def _complete_change(self, change, verdict):
+        # Records from before the start of this daemon do not change its state.
         level = "INFO" if self._caught_up else "DEBUG"
         logger.bind(
             kind=change.kind,
@@ -183,12 +184,12 @@
             version=verdict.version,
             author=change.author,
         ).log(level, "change folded")
-        settled = self._waiting.get(change.id)
-        if settled is not None:
-            settled.verdict = verdict
-            settled.set()
+        pending = self._pending.get(change.id)
+        if pending is not None:
+            pending.verdict = verdict
+            pending.set()
 
-    def _set_available(self, available, why):
+    def _set_available(self, available, reason):
         if available != self.available:
-            logger.bind(available=available, why=why).warning("log service")
+            logger.bind(available=available, why=reason).warning("log service")
         self.available = available
--- a/packages/valeweir_upstreams/src/valeweir_upstreams/connections.py
+++ b/packages/valeweir_upstreams/src/valeweir_upstreams/connections.py
@@ -1,20 +1,20 @@
-"""Kept connections to upstreams.
+"""Idle connections to upstreams.
 
-urllib3's connection class is used without its pools: whether a failure came
-before or after the first byte of a request decides what the caller is told,
-and a pool with hidden reconnects would blur that.
+urllib3's connection class is used without its pools. The response to the caller
+depends on whether a failure occurred before or after the first byte of a request
+was sent, and a pool that reconnects internally hides this.
 """
 
 import threading
 
 from urllib3.connection import HTTPConnection, HTTPSConnection
 
-_CONNECT_TIMEOUT = 2.0
-_KEEP = 64
+_CONNECT_TIMEOUT_S = 2.0
+_MAX_IDLE_COUNT = 64
 
 
 class Connections:
-    """Idle connections by address, last used first."""
+    """Idle connections by address; the most recently used one is taken first."""
 
     def __init__(self, ssl_context=None):
         self._ssl_context = ssl_context
@@ -22,7 +22,7 @@
         self._lock = threading.Lock()
 
     def take_idle(self, address):
-        """Return a kept connection that looks alive, or None."""
+        """Return an idle connection that appears to be open, or None."""
         with self._lock:
             idle = self._idle.get(address, [])
             while idle:
@@ -33,28 +33,34 @@
         return None
 
     def connect(self, address):
-        """Return a new connection; raises OSError or HTTPError where refused."""
+        """Return a new connection; raises OSError or HTTPError if it fails."""
         host, _, port = address.rpartition(":")
         if self._ssl_context is not None:
             conn = HTTPSConnection(
-                host, int(port), timeout=_CONNECT_TIMEOUT, ssl_context=self._ssl_context
+                host,
+                int(port),
+                timeout=_CONNECT_TIMEOUT_S,
+                ssl_context=self._ssl_context,
             )
         else:
-            conn = HTTPConnection(host, int(port), timeout=_CONNECT_TIMEOUT)
+            conn = HTTPConnection(host, int(port), timeout=_CONNECT_TIMEOUT_S)
         conn.connect()
         return conn
 
-    def keep(self, address, conn):
-        """Keep a connection whose last exchange ended exactly as it should."""
+    def put_idle(self, address, conn):
+        """Store a connection whose last response was read completely.
+
+        The connection is closed if the address has too many idle ones.
+        """
         with self._lock:
             idle = self._idle.setdefault(address, [])
-            if len(idle) < _KEEP:
+            if len(idle) < _MAX_IDLE_COUNT:
                 idle.append(conn)
                 return
         conn.close()
 
-    def drop(self, address):
-        """Close what is kept for an upstream that is gone."""
+    def close_idle(self, address):
+        """Close the idle connections to an upstream that was removed."""
         with self._lock:
             idle = self._idle.pop(address, [])
         for conn in idle:
