--- a/packages/valeweir_callers/src/valeweir_callers/demands.py
+++ b/packages/valeweir_callers/src/valeweir_callers/protocol.py
@@ -59,7 +59,7 @@
 _usage_decoder = msgspec.json.Decoder(UsageBody)
 
 
-def parse_demand(request, default_deadline):
+def parse_request(request, default_deadline):
     """Return the `ParsedRequest` of a request, or a `Refusal`."""
     deadline = _parse_deadline(request.headers, default_deadline)
     if isinstance(deadline, Refusal):
@@ -76,7 +76,7 @@
     )
 
 
-def get_bearer(headers):
+def hash_bearer_key(headers):
     """Return the SHA-256 of the bearer key in hexadecimal, or None."""
     scheme, _, key = headers.get("Authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key.strip():
@@ -84,7 +84,7 @@
     return hashlib.sha256(key.strip().encode()).hexdigest()
 
 
-def get_unary_usage(body):
+def parse_usage(body):
     """Return the `TokenUsage` in a response body or a stream event, or None."""
     try:
         return _usage_decoder.decode(body).usage
@@ -135,7 +135,7 @@
             elif block.startswith(b"data:"):
                 new_event_count += 1
                 if b'"usage"' in block:
-                    self.usage = get_unary_usage(block[5:]) or self.usage
+                    self.usage = parse_usage(block[5:]) or self.usage
         self.events += new_event_count
         return new_event_count
 
--- a/packages/valeweir_fleet/src/valeweir_fleet/messages.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/messages.py
@@ -113,7 +113,7 @@
     """Requests the service of past incarnations for a router that started empty."""
 
 
-class Past(msgspec.Struct, frozen=True, array_like=True):
+class PastService(msgspec.Struct, frozen=True, array_like=True):
     """Service received by an account in a pool that no live router reports."""
 
     pool: str
@@ -129,7 +129,7 @@
     ``silent`` maps an incarnation to ``(pool, account, settled)`` rows.
     """
 
-    past: list[Past]
+    past: list[PastService]
     retired: list[str]
     silent: dict[str, list[tuple[str, int, int]]]
 
--- a/packages/valeweir_fleet/src/valeweir_fleet/peers.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/peers.py
@@ -100,7 +100,7 @@
         """Replace the list of hosts from the platform."""
         self.members = {member.host: member for member in members}
 
-    def get_changes(self, now):
+    def recompute_liveness(self, now):
         """Update the liveness of peers; return a `LivenessChange` for each change."""
         changes = []
         for peer in self.by_host.values():
--- a/packages/valeweir_platform/src/valeweir_platform/followers.py
+++ b/packages/valeweir_platform/src/valeweir_platform/followers.py
@@ -40,12 +40,12 @@
         from a peer has replaced them yet.
     """
 
-    def __init__(self, log, configuration, lock, on_change, on_reached):
+    def __init__(self, log, configuration, lock, on_change, on_caught_up):
         self._log = log
         self._configuration = configuration
         self._lock = lock
         self._on_change = on_change
-        self._on_reached = on_reached
+        self._on_caught_up = on_caught_up
         self._pending = {}
         self.available = False
         self.gap = False
@@ -83,7 +83,7 @@
             reached = self._configuration.offset >= batch.next
             if reached:
                 self._caught_up = True
-                self._on_reached()
+                self._on_caught_up()
         return not reached
 
     def submit(self, change, timeout):
@@ -169,7 +169,7 @@
         except PlatformUnavailable as exc:
             logger.bind(why=str(exc)).warning("snapshot not written")
 
-    def get_records_since_snapshot(self):
+    def count_records_since_snapshot(self):
         """Return the number of records folded since the last snapshot."""
         return self._configuration.offset - self.snapshot_offset
 
--- a/packages/valeweir_router/src/valeweir_router/admission.py
+++ b/packages/valeweir_router/src/valeweir_router/admission.py
@@ -1,7 +1,7 @@
 """Admission of callers' requests: authentication, limits, pool and ticket."""
 
 from valeweir.models import OUTCOME_HEADER, REQUEST_ID_HEADER, Outcome, Refusal
-from valeweir_callers.demands import get_bearer, parse_demand
+from valeweir_callers.protocol import hash_bearer_key, parse_request
 from valeweir_sharing.limits import find_exceeded_limit, get_retry_after
 
 from .router_state import Ticket
@@ -29,7 +29,7 @@
     if the response has already been sent.
     """
     with state.lock:
-        account = state.accounts_by_hash.get(get_bearer(request.headers))
+        account = state.accounts_by_hash.get(hash_bearer_key(request.headers))
         ready = state.config_known
     if not ready:
         return _make_not_ready_refusal()
@@ -43,7 +43,7 @@
     if request.path == "/v1/models" and request.method == "GET":
         _send_models(state, reply, request_id)
         return None
-    demand = parse_demand(request, state.cfg["callers"]["default_deadline"])
+    demand = parse_request(request, state.cfg["callers"]["default_deadline"])
     if isinstance(demand, Refusal):
         return demand
     with state.lock:
--- a/packages/valeweir_router/src/valeweir_router/control_plane.py
+++ b/packages/valeweir_router/src/valeweir_router/control_plane.py
@@ -62,7 +62,7 @@
 
 def update_liveness(state):
     """Update which peers are live, and the ownership if any of them changed."""
-    changes = state.peers.get_changes(state.clock())
+    changes = state.peers.recompute_liveness(state.clock())
     for change in changes:
         state.ledger.set_live(change.peer.source, change.live)
         service_history.record_liveness(state, change.peer.source, change.live)
--- a/packages/valeweir_router/src/valeweir_router/outcomes.py
+++ b/packages/valeweir_router/src/valeweir_router/outcomes.py
@@ -3,7 +3,7 @@
 from loguru import logger
 from valeweir import metrics
 from valeweir.models import Outcome, Refusal
-from valeweir_callers.demands import send_refusal
+from valeweir_callers.protocol import send_refusal
 from valeweir_upstreams.exchanges import Fault
 
 MAX_ATTEMPTS = 4
--- a/packages/valeweir_router/src/valeweir_router/request_handler.py
+++ b/packages/valeweir_router/src/valeweir_router/request_handler.py
@@ -5,7 +5,7 @@
 
 from valeweir import metrics
 from valeweir.models import IDEMPOTENCY_HEADER, Outcome, Refusal
-from valeweir_callers.demands import send_refusal
+from valeweir_callers.protocol import send_refusal
 from valeweir_sharing.limits import get_retry_after
 
 from . import key_claims, scheduler
--- a/packages/valeweir_router/src/valeweir_router/router.py
+++ b/packages/valeweir_router/src/valeweir_router/router.py
@@ -129,7 +129,7 @@
     def _check_snapshot(self):
         """Write a log snapshot if one is due and this router is chosen for it."""
         is_due = (
-            self.follower.get_records_since_snapshot() >= _SNAPSHOT_INTERVAL_RECORDS
+            self.follower.count_records_since_snapshot() >= _SNAPSHOT_INTERVAL_RECORDS
         )
         state = self.state
         with state.lock:
@@ -161,7 +161,7 @@
         state.configuration,
         state.lock,
         on_change=lambda: control_plane.apply_configuration(state),
-        on_reached=lambda: _mark_config_known(state),
+        on_caught_up=lambda: _mark_config_known(state),
     )
     caller_server = _create_port(
         cfg["callers"], create_handler(state, Connections()), cfg["callers"]["threads"]
--- a/packages/valeweir_router/src/valeweir_router/service_history.py
+++ b/packages/valeweir_router/src/valeweir_router/service_history.py
@@ -4,7 +4,7 @@
 """
 
 from loguru import logger
-from valeweir_fleet.messages import Past
+from valeweir_fleet.messages import PastService
 from valeweir_sharing.usage import History, ServiceKey
 
 _RETIRE_AFTER_S = 600.0
@@ -17,7 +17,7 @@
     numbers = state.account_numbers
     keys = [k for k in set(history.base) | set(history.lifts) if k.account in numbers]
     past = [
-        Past(
+        PastService(
             key.pool,
             numbers[key.account],
             int(history.base.get(key, 0.0)),
--- a/packages/valeweir_router/src/valeweir_router/upstream_exchange.py
+++ b/packages/valeweir_router/src/valeweir_router/upstream_exchange.py
@@ -5,7 +5,7 @@
 from loguru import logger
 from valeweir import metrics
 from valeweir.models import CLASS_PRIORITY, OUTCOME_HEADER, REQUEST_ID_HEADER, Outcome
-from valeweir_callers.demands import StreamMeter, get_unary_usage
+from valeweir_callers.protocol import StreamMeter, parse_usage
 from valeweir_upstreams.exchanges import (
     Call,
     Failure,
@@ -81,11 +81,11 @@
 
 
 def _forward_unary(admitted, exchange, head, progress):
-    body = exchange.read_whole(_MAX_RESPONSE_BYTES)
+    body = exchange.read_body(_MAX_RESPONSE_BYTES)
     if isinstance(body, Failure):
         return body
     if admitted.demand.is_model:
-        progress.set_usage(get_unary_usage(body))
+        progress.set_usage(parse_usage(body))
     headers = _prepare_reply_headers(admitted, head)
     headers.append((OUTCOME_HEADER, Outcome.COMPLETE.value))
     try:
@@ -100,7 +100,7 @@
     """Forward events as they arrive; a retry is possible until the first one."""
     meter = StreamMeter()
     reply = admitted.reply
-    for part in exchange.read_parts():
+    for part in exchange.iter_body():
         if isinstance(part, Failure):
             return _abort_stream(reply, part)
         event_count = meter.feed(part)
--- a/packages/valeweir_upstreams/src/valeweir_upstreams/exchanges.py
+++ b/packages/valeweir_upstreams/src/valeweir_upstreams/exchanges.py
@@ -140,7 +140,7 @@
             self._resp.status, end_to_end, content_type.startswith("text/event-stream")
         )
 
-    def read_whole(self, limit):
+    def read_body(self, limit):
         """Return the complete body as bytes, or a `Failure`."""
         if not self._is_delimited():
             return self._fail(
@@ -148,7 +148,7 @@
             )
         parts = []
         size = 0
-        for part in self.read_parts():
+        for part in self.iter_body():
             if isinstance(part, Failure):
                 return part
             size += len(part)
@@ -157,7 +157,7 @@
             parts.append(part)
         return b"".join(parts)
 
-    def read_parts(self):
+    def iter_body(self):
         """Yield the body in parts as they arrive, then a `Failure` if it is cut off."""
         try:
             while True:
