--- a/packages/valeweir_fleet/src/valeweir_fleet/peers.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/peers.py
@@ -74,7 +74,7 @@
         self.replaced = []
         self._replaced_sources = {}
 
-    def note(self, message, now):
+    def record_message(self, message, now):
         """Record a message; return its `Peer`, or None for a replay.
 
         Messages of incarnations that have been replaced are rejected too.
--- a/packages/valeweir_router/src/valeweir_router/control_plane.py
+++ b/packages/valeweir_router/src/valeweir_router/control_plane.py
@@ -127,7 +127,7 @@
 
 def handle(state, message):
     """Process one message of another router; drop it if it is a replay."""
-    peer = state.peers.note(message, state.clock())
+    peer = state.peers.record_message(message, state.clock())
     if peer is None:
         metrics.control_dropped.labels("replayed").inc()
         return
