--- a/packages/valeweir_fleet/src/valeweir_fleet/peers.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/peers.py
@@ -10,7 +10,7 @@
 
     ``sent_at`` is the latest timestamp of the peer's clock in its messages.
     ``echo`` is the latest timestamp of this router's clock that the peer has
-    echoed. ``heard`` is the time on this router's clock at which the latest
+    echoed. ``received_at`` is the time on this router's clock at which the latest
     message arrived.
     """
 
@@ -19,7 +19,7 @@
         "config_offset",
         "domain",
         "echo",
-        "heard",
+        "received_at",
         "host",
         "leaving",
         "live",
@@ -36,7 +36,7 @@
         self.seq = -1
         self.sent_at = 0.0
         self.echo = 0.0
-        self.heard = 0.0
+        self.received_at = 0.0
         self.live = False
         self.leaving = False
         self.config_offset = 0
@@ -93,7 +93,7 @@
         if message.seq <= peer.seq:
             return None
         peer.seq = message.seq
-        peer.heard = now
+        peer.received_at = now
         return peer
 
     def set_members(self, members):
@@ -105,7 +105,9 @@
         changes = []
         for peer in self.by_host.values():
             oldest = now - self.patience
-            live = peer.heard > oldest and peer.echo > oldest and bool(peer.address)
+            live = (
+                peer.received_at > oldest and peer.echo > oldest and bool(peer.address)
+            )
             if live != peer.live:
                 peer.live = live
                 changes.append(LivenessChange(peer, live))
@@ -149,7 +151,7 @@
             return True
         # If the clock was set back, a later start has a lower number. The lower
         # number is then accepted once the current incarnation is silent.
-        silent = current.heard < now - self.patience
+        silent = current.received_at < now - self.patience
         if (
             _parse_incarnation_number(current.source)
             > _parse_incarnation_number(source)
--- a/packages/valeweir_router/src/valeweir_router/held_slots.py
+++ b/packages/valeweir_router/src/valeweir_router/held_slots.py
@@ -174,7 +174,7 @@
     if peer is None or not peer.live:
         return False
     return (
-        state.clock() - peer.heard
+        state.clock() - peer.received_at
         < _MAX_SILENCE_INTERVALS * state.digest_interval.get_interval()
     )
 
