--- a/packages/valeweir_fleet/src/valeweir_fleet/peers.py
+++ b/packages/valeweir_fleet/src/valeweir_fleet/peers.py
@@ -66,8 +66,8 @@
     sides therefore consider each other lost.
     """
 
-    def __init__(self, patience):
-        self.patience = patience
+    def __init__(self, liveness_timeout_s):
+        self.liveness_timeout_s = liveness_timeout_s
         self.by_source = {}
         self.by_host = {}
         self.members = {}
@@ -104,7 +104,7 @@
         """Update the liveness of peers; return a `LivenessChange` for each change."""
         changes = []
         for peer in self.by_host.values():
-            oldest = now - self.patience
+            oldest = now - self.liveness_timeout_s
             live = (
                 peer.received_at > oldest and peer.echo > oldest and bool(peer.address)
             )
@@ -151,7 +151,7 @@
             return True
         # If the clock was set back, a later start has a lower number. The lower
         # number is then accepted once the current incarnation is silent.
-        silent = current.received_at < now - self.patience
+        silent = current.received_at < now - self.liveness_timeout_s
         if (
             _parse_incarnation_number(current.source)
             > _parse_incarnation_number(source)
--- a/packages/valeweir_router/src/valeweir_router/upstream_ownership.py
+++ b/packages/valeweir_router/src/valeweir_router/upstream_ownership.py
@@ -176,7 +176,7 @@
 
 def _apply_handover(state, upstream, now):
     received_at, handover = state.handovers.pop(upstream, (0.0, None))
-    if handover is None or now - received_at > state.peers.patience:
+    if handover is None or now - received_at > state.peers.liveness_timeout_s:
         return
     held = state.holder.held.get(upstream)
     if held is not None and held.epoch > handover.epoch:
