--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/client_deadlines.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/client_deadlines.py
@@ -19,7 +19,7 @@
         self._current_max = {}
         self._previous_max = {}
 
-    def note(self, route, remaining, now):
+    def observe(self, route, remaining, now):
         """Record an attempt; return the seconds spent on earlier attempts."""
         if now - self._window_start > _WINDOW_S:
             self._window_start = now
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/latency_targets.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/latency_targets.py
@@ -17,7 +17,7 @@
         self._lock = threading.Lock()
         self._used_at = {}
 
-    def note(self, service, target, now):
+    def observe(self, service, target, now):
         """Record a request with this latency target; return the shortest in use."""
         with self._lock:
             used_at = self._used_at.setdefault(service, {})
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
@@ -43,7 +43,7 @@
     target, since half of the waits turn out longer than expected. The limit is lower
     still if the account is beyond its share.
     """
-    target = state.latency_targets.note(ctx.service, ctx.route.latency_target, now)
+    target = state.latency_targets.observe(ctx.service, ctx.route.latency_target, now)
     status = get_share_status(state, ctx, now)
     ctx.standing = status
     crowding = min(1.0, (choice.wait - choice.alone) / (_CROWDED_QUEUE_RATIO * target))
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/pressure.py
@@ -115,7 +115,7 @@
         self.lag = 0.0
         self.level = PressureLevel.NONE
 
-    def note(self, delay):
+    def observe(self, delay):
         """Add a sample: the delay of a periodic timer, in seconds."""
         delay = min(_MAX_SAMPLE_S, max(0.0, delay))
         self.lag += _EWMA_ALPHA * (delay - self.lag)
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/report_exchange.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/report_exchange.py
@@ -81,7 +81,7 @@
             await asyncio.sleep(interval)
             now = state.clock()
             state.pause_detector.tick()
-            state.pressure.note(now - due)
+            state.pressure.observe(now - due)
             self._run_logging_faults(self.tick, now)
 
     def _get_interval(self):
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -79,7 +79,7 @@
         self.reads = Reads()
         self.intake = IntakeQueue(clock)
         self.latency_targets = RecentLatencyTargets()
-        self.patience = ClientDeadlines()
+        self.client_deadlines = ClientDeadlines()
         self.pressure = ProcessorPressure(log)
         self.overload = OverloadDetector(log)
         self.pause_detector = PauseDetector(clock, log.note)
