--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/slow_start.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/slow_start.py
@@ -46,7 +46,7 @@
     def __len__(self):
         return len(self._end_times)
 
-    def note(self, instance_id, end_time, now):
+    def mark_warming(self, instance_id, end_time, now):
         """Mark an instance as warming; return whether it was not before.
 
         A warm-up already recorded is never shortened.
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -142,7 +142,7 @@
         if seconds <= 0.0:
             return
         state.timers.subscribe("warm-up", None, self.end_warm_ups, seconds)
-        if state.slow_start.note(instance.id, now + seconds, now):
+        if state.slow_start.mark_warming(instance.id, now + seconds, now):
             state.metrics.warm_ups.labels(source).inc()
             state.log.note(
                 "upstream warming",
