--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
@@ -146,7 +146,7 @@
 def get_oldest_report_age(state, now):
     """Return the age in seconds of the oldest report in the sums."""
     peers = state.members.get_live(now)
-    return max((now - peer.heard for peer in peers), default=0.0)
+    return max((now - peer.received_at for peer in peers), default=0.0)
 
 
 def describe_wait_inputs(state, choice, status, limit, now):
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
@@ -44,14 +44,14 @@
 class Peer(NamedTuple):
     """The latest report of one gateway.
 
-    ``heard`` is the time of its receipt on the monotonic clock. ``sends_figures`` is
+    ``received_at`` is the time of its receipt on the monotonic clock. ``sends_figures`` is
     true for a gateway that has reported figures to this one, and therefore does so
     regularly, and false for one that has only replied to a ``HELLO``.
     """
 
     address: str
     report: object
-    heard: float
+    received_at: float
     sends_figures: bool
 
     @property
@@ -133,7 +133,7 @@
                 return member
         return None
 
-    def note(self, report, address, now):
+    def record_report(self, report, address, now):
         """Store a report; return its `Peer`, or None for an outdated or own report."""
         if report.host == self.own.host:
             return None
@@ -156,7 +156,7 @@
     def expect_reply(self, host, now):
         """Record a send that the host should reply to."""
         peer = self.peers.get(host)
-        if peer is None or now - peer.heard > _REPLY_TIMEOUT_S:
+        if peer is None or now - peer.received_at > _REPLY_TIMEOUT_S:
             self._reply_awaited_since.setdefault(host, now)
 
     def is_suspect(self, host, now):
@@ -167,12 +167,12 @@
     def get_live(self, now):
         """Return the peers that have reported recently."""
         peers = list(self.peers.values())
-        return [peer for peer in peers if now - peer.heard < _SILENT_AFTER_S]
+        return [peer for peer in peers if now - peer.received_at < _SILENT_AFTER_S]
 
     def is_live(self, host, now):
         """Return whether the host has reported recently."""
         peer = self.peers.get(host)
-        return peer is not None and now - peer.heard < _SILENT_AFTER_S
+        return peer is not None and now - peer.received_at < _SILENT_AFTER_S
 
     def get_silent_domains(self, now):
         """Return the domains that no longer report to this gateway or its relay."""
@@ -183,7 +183,7 @@
         for peer in list(self.peers.values()):
             if peer.sends_figures:
                 reporting.add(peer.report.domain)
-            if now - peer.heard < _DOMAIN_SILENT_AFTER_S:
+            if now - peer.received_at < _DOMAIN_SILENT_AFTER_S:
                 live.add(peer.report.domain)
         return (reporting - live) | self._get_domains_reported_silent(now)
 
@@ -192,7 +192,7 @@
         silent = set()
         for peer in list(self.peers.values()):
             if (
-                now - peer.heard < _DOMAIN_SILENT_AFTER_S
+                now - peer.received_at < _DOMAIN_SILENT_AFTER_S
                 and peer.report.role == Role.DOWN
             ):
                 silent.update(peer.report.silent)
@@ -202,7 +202,7 @@
         """Remove and return the peers that have been silent for too long."""
         with self._lock:
             dropped = [
-                p for p in self.peers.values() if now - p.heard > _FORGET_AFTER_S
+                p for p in self.peers.values() if now - p.received_at > _FORGET_AFTER_S
             ]
             for peer in dropped:
                 del self.peers[peer.host]
@@ -231,7 +231,7 @@
         return True
     # After the clock was set back, a later start has a lower incarnation number. Its
     # reports are accepted once the earlier incarnation is silent.
-    return now - old.heard >= _SILENT_AFTER_S
+    return now - old.received_at >= _SILENT_AFTER_S
 
 
 def _get_rank(member):
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/report_exchange.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/report_exchange.py
@@ -122,7 +122,7 @@
             return
         address = f"{sender[0]}:{sender[1]}"
         is_new = not state.members.is_live(report.host, now)
-        if state.members.note(report, address, now) is None:
+        if state.members.record_report(report, address, now) is None:
             return
         self._received_count += 1
         if is_newer(report, state):
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/view_sync.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/view_sync.py
@@ -235,7 +235,7 @@
             offsets_before=previous_ends,
             offsets=self._get_end_offsets(),
             peer_offsets=peer.report.view_offsets,
-            report_age_s=round(now - peer.heard, 3),
+            report_age_s=round(now - peer.received_at, 3),
         )
         return merged
 
