--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -163,7 +163,7 @@
 
 def _observe_response(state, choice, work):
     now = state.clock()
-    state.loads.note_progress(work, now)
+    state.loads.record_progress(work, now)
     if work.tokens == 0:
         state.loads.record_call_time(work, choice.instance.slots, now - work.sent)
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
@@ -104,7 +104,7 @@
         severe = failure.fault is Fault.NOT_SENT
         ejection_s = state.loads.record_error(instance_id, now, severe)
         if failure.status == 0:
-            state.domains.note_failure(choice.instance.zone, now)
+            state.domains.record_failure(choice.instance.zone, now)
     state.log.note(
         "send failed",
         failed=True,
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
@@ -25,7 +25,7 @@
         self._lock = threading.Lock()
         self._failed_at = {}
 
-    def note_failure(self, domain, now):
+    def record_failure(self, domain, now):
         """Record that an instance of the domain could not be reached."""
         if domain != self._own:
             with self._lock:
@@ -95,6 +95,6 @@
         if reachable:
             state.domains.record_success(domain)
         else:
-            state.domains.note_failure(domain, state.clock())
+            state.domains.record_failure(domain, state.clock())
         if was_unreachable == reachable:
             state.log.note("domain probed", probed=domain, reachable=reachable)
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
@@ -190,7 +190,7 @@
         if load is not None:
             load.answered = now
 
-    def note_progress(self, work, now):
+    def record_progress(self, work, now):
         """Record that a part of the response has arrived."""
         load = self.get(work.instance_id, now)
         load.last_activity = now
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
@@ -27,7 +27,7 @@
         if isinstance(item, End):
             return await _finish_stream(ctx, head, splitter)
         assert isinstance(item, Data)
-        state.loads.note_progress(work, state.clock())
+        state.loads.record_progress(work, state.clock())
         blocks = splitter.feed(item.data)
         while (next_data := exchange.read_ready()) is not None:
             blocks += splitter.feed(next_data.data)
