--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
@@ -45,7 +45,7 @@
     """
     target = state.latency_targets.observe(ctx.service, ctx.route.latency_target, now)
     status = get_share_status(state, ctx, now)
-    ctx.standing = status
+    ctx.share_status = status
     crowding = min(1.0, (choice.wait - choice.alone) / (_CROWDED_QUEUE_RATIO * target))
     refusal = _check_pass_rate(state, ctx, status, crowding, now)
     if refusal is not None:
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
@@ -31,7 +31,7 @@
         "sends",
         "service",
         "spent",
-        "standing",
+        "share_status",
     )
 
     def __init__(self, request, reply, catalog, arrived):
@@ -58,7 +58,7 @@
         self.answered = 0
         self.last_event_id = None
         self.may_have_run = False
-        self.standing = None
+        self.share_status = None
         # Random number for admission. The lowest value admits a request for which none
         # was drawn.
         self.draw = 0.0
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
@@ -84,7 +84,7 @@
         out_ms=_get_out_ms(ctx),
         sends=ctx.sends,
         took_ms=to_milliseconds(now - ctx.arrived),
-        **(describe_share_status(ctx.standing) if ctx.standing else {}),
+        **(describe_share_status(ctx.share_status) if ctx.share_status else {}),
         **ctx.view_at_send,
     )
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crash_attribution.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/crash_attribution.py
@@ -75,7 +75,7 @@
 async def on_connection_broken(state, ctx, instance, sent):
     """Record a crash if the upstream of a broken connection has terminated."""
     ended = state.clock()
-    if not await state.endings.has_exited(instance, sent):
+    if not await state.upstream_exits.has_exited(instance, sent):
         return
     state.metrics.upstream_ends.inc()
     crash = Crash(get_digest(instance.id), sent, ended)
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -102,7 +102,7 @@
         self.shares = Shares(self.usage, cfg.sharing)
         self.backoffs = Backoffs()
         self.connections = Connections(clock)
-        self.endings = UpstreamExits(clock, self.connections.keep)
+        self.upstream_exits = UpstreamExits(clock, self.connections.keep)
         self.suspects = Suspects()
         self.quarantine = Quarantine()
         self.quarantine_offset = 0
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/connections.py
@@ -112,9 +112,9 @@
 
 async def _finish_connecting(sock, client, timeout):
     deadline = asyncio.get_running_loop().time() + timeout
-    wake = await wait_for_socket(sock, deadline, client, reading=False, writing=True)
-    if wake is WaitResult.TIMED_OUT:
+    result = await wait_for_socket(sock, deadline, client, reading=False, writing=True)
+    if result is WaitResult.TIMED_OUT:
         return errno.ETIMEDOUT
-    if wake is WaitResult.GONE:
+    if result is WaitResult.GONE:
         return errno.ECANCELED
     return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/exchanges.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/exchanges.py
@@ -179,12 +179,12 @@
         """Wait until the socket is ready, the client disconnects or time runs out."""
         end = self._call.deadline
         until = end if deadline is None else min(end, deadline)
-        wake = await wait_for_socket(
+        result = await wait_for_socket(
             self._sock, until, self._client, reading=True, writing=writing
         )
-        if wake is WaitResult.READY:
+        if result is WaitResult.READY:
             return None
-        if wake is WaitResult.GONE:
+        if result is WaitResult.GONE:
             return self._fail(Fault.GONE, "client disconnected")
         if until < end:
             return self._fail(Fault.SLOW, "attempt timed out")
