--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/members.py
@@ -44,8 +44,8 @@
 class Peer(NamedTuple):
     """The latest report of one gateway.
 
-    ``received_at`` is the time of its receipt on the monotonic clock. ``sends_figures`` is
-    true for a gateway that has reported figures to this one, and therefore does so
+    ``received_at`` is the time of its receipt on the monotonic clock. ``sends_figures``
+    is true for a gateway that has reported figures to this one, and therefore does so
     regularly, and false for one that has only replied to a ``HELLO``.
     """
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_checks.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_checks.py
@@ -94,7 +94,9 @@
     if client_timeout is None:
         ctx.allowed = max(0.0, ctx.route.timeout - RESPONSE_MARGIN_S)
         return
-    ctx.spent = state.client_deadlines.observe(ctx.route.name, client_timeout, ctx.arrived)
+    ctx.spent = state.client_deadlines.observe(
+        ctx.route.name, client_timeout, ctx.arrived
+    )
     ctx.allowed = max(0.0, min(ctx.route.timeout, client_timeout) - RESPONSE_MARGIN_S)
 
 
