--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/shares.py
@@ -24,7 +24,7 @@
 _LOW_USE_RATIO = 0.5
 # An account is starved if it has begun less than this part of its entitlement. Its
 # shortfall raises its factor, by the whole extra factor if it amounts to this many of
-# its requests: a late answer is better than none.
+# its requests: a late response is better than none.
 _STARVED_RATIO = 0.8
 _STARVED_REQUEST_COUNT = 2
 _STARVED_EXTRA_FACTOR = 1.5
@@ -42,7 +42,7 @@
     """Usage of an account in the whole fleet and share levels, in tokens of the window.
 
     ``own_begun`` is this gateway's part of ``begun``. ``level`` is the share level that
-    no account should exceed, None if all accounts get what they ask for.
+    no account should exceed, None if the demand of all accounts is met.
     ``declared_level`` is the share level at the declared rate of the upstreams.
     """
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/usage.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/usage.py
@@ -65,7 +65,7 @@
 def compute_share_level(asked, capacity):
     """Return the share level of a max-min fair division.
 
-    No account gets more than the level, and accounts that ask for less get all of it.
+    No account gets more than the level, and accounts with a lower demand get all of it.
 
     Parameters
     ----------
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/handler.py
@@ -156,7 +156,8 @@
 def _make_final_refusal(state, ctx, failure):
     """Return the `Refusal` after a failed send.
 
-    While all instances ask for a pause, Retry-After is the time until one ends.
+    While all instances have requested a backoff, Retry-After is the time until the
+    first backoff ends.
     """
     refusal = make_failure_refusal(state, ctx, failure)
     if refusal.retry_after is None:
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
@@ -4,7 +4,7 @@
 
 
 class RequestContext:
-    """State of one request while it is handled. Times are on the steady clock."""
+    """State of one request while it is handled. Times are on the monotonic clock."""
 
     __slots__ = (
         "_fingerprint",
@@ -45,7 +45,7 @@
         self.prompt = None
         self.allowed = 0.0
         self.deadline = arrived
-        # Seconds that the client has spent on earlier tries of this request.
+        # Seconds that the client has spent on earlier attempts of this request.
         self.spent = 0.0
         self.service = None
         self.excluded = set()
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
@@ -20,8 +20,8 @@
 CACHES_PATH = "/fleet/caches"
 _RETRY_INTERVAL_S = 0.5
 _MAX_ENGINE_TRIES = 3
-# More tries than at an engine, since the first gateway of the domain may have started
-# at the same time and may still be listing engines.
+# More attempts than at an engine, since the first gateway of the domain may have
+# started at the same time and may still be listing engines.
 _MAX_PEER_TRIES = 8
 _PEER_TIMEOUT_S = 1.0
 
@@ -128,7 +128,7 @@
         return unknown
 
     def ask(self, instance):
-        """List the cache of an engine; return False if it has to be tried again."""
+        """List the cache of an engine; return False if it has to be retried."""
         if self._state.directory.is_leaving(instance.id):
             # The engine gets no more requests, and a list is a request too.
             return True
--- a/packages/valeweir_gateway/src/valeweir_gateway/quarantine/fingerprints.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/quarantine/fingerprints.py
@@ -2,8 +2,8 @@
 
 import hashlib
 
-# A collision of 8 bytes takes about 2^32 tries. The digest includes the client account,
-# so that an account can only collide with its own requests.
+# A collision of 8 bytes takes about 2^32 attempts. The digest includes the client
+# account, so that an account can only collide with its own requests.
 _DIGEST_BYTES = 8
 _LENGTH_BYTES = 4
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -168,7 +168,7 @@
             self._inflight += 1
 
     def leave(self):
-        """Count a request as answered."""
+        """Count a request as no longer in flight."""
         with self._lock:
             self._inflight -= 1
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_signals.py
@@ -32,7 +32,7 @@
 
 
 def read_signals(names, head):
-    """Return the `Signals` in the `answers.Head` of a final response."""
+    """Return the `Signals` in the `responses.Head` of a final response."""
     if head.status == MISDIRECTED_STATUS:
         return Signals()
     is_leaving = head.headers.get(names.leaving.lower()) == LEAVING_VALUE
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
@@ -52,14 +52,14 @@
 
 
 class RecordPosition(NamedTuple):
-    """Offset and arrival time (steady clock) of the last record of an instance."""
+    """Offset and arrival time (monotonic clock) of the last record of an instance."""
 
     offset: int
     at: float
 
 
 class Directory:
-    """All known instances, from their records and from signals in their answers."""
+    """All known instances, from their records and from signals in their responses."""
 
     def __init__(self):
         self.by_id = {}
@@ -74,7 +74,7 @@
         self._unrecorded_leaving = None
         # Increases with each leaving incarnation that has to be reported to peers.
         self.leaving_version = 0
-        # Records are applied by the threads that read the store, answers by the event
+        # Records are applied by the threads that read the store, signals by the event
         # loop.
         self._lock = threading.Lock()
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
@@ -11,7 +11,7 @@
 
     ``begin`` and ``end`` are the end offsets of the view before and after the update.
     ``source`` is `STORE` or the host of a peer. ``is_listing`` is true for a listing of
-    all keys and false for a batch of changes. ``at`` is on the steady clock.
+    all keys and false for a batch of changes. ``at`` is on the monotonic clock.
     """
 
     begin: int
