--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/upstream_exits.py
@@ -22,8 +22,8 @@
 
     is_disconnected = False
 
-    def watch(self, waiter):
-        """Ignore the waiter, as this client never disconnects."""
+    def watch(self, callback):
+        """Ignore the callback, as this client never disconnects."""
 
 
 class UpstreamExits:
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
@@ -46,9 +46,9 @@
 
     A write whose answer was lost may take effect late, after a newer record.
     """
-    is_same_life = instance.id == known.id
+    is_same_incarnation = instance.id == known.id
     returns = instance.ready and not known.ready
-    return is_same_life and returns and instance.sequence < known.sequence
+    return is_same_incarnation and returns and instance.sequence < known.sequence
 
 
 class RecordPosition(NamedTuple):
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
@@ -29,13 +29,13 @@
     """A call of the store.
 
     ``started_at`` is the time of its start, ``wait`` the time in seconds for which the
-    store may delay the answer, and ``stalled`` the total time in seconds for which this
+    store may delay the answer, and ``pause_total`` the total time in seconds for which this
     process had been paused before the start.
     """
 
     started_at: float
     wait: float
-    stalled: float
+    pause_total: float
 
 
 class TopicFollower:
@@ -58,7 +58,7 @@
     on_recovered : callable
         Called with the current time when the store answers after an outage, before the
         answer is applied.
-    get_stall_seconds : callable
+    get_pause_total : callable
         Returns the total time in seconds for which this process has been paused.
     wait_until_wanted : callable
         Called with ``stopped`` while reading is not wanted; returns after a bounded
@@ -84,7 +84,7 @@
         on_complete=lambda topic, as_of: None,
         on_recovered=lambda now: None,
         on_update=lambda topic, update: None,
-        get_stall_seconds=lambda: 0.0,
+        get_pause_total=lambda: 0.0,
         wait_until_wanted=lambda stopped: stopped.wait(_IDLE_CHECK_S),
         is_done=lambda: False,
         rank=lambda entry: None,
@@ -113,7 +113,7 @@
         self._on_complete = on_complete
         self._on_recovered = on_recovered
         self._on_update = on_update
-        self._get_stall_seconds = get_stall_seconds
+        self._get_pause_total = get_pause_total
         self._wait_until_wanted = wait_until_wanted
         self._is_done = is_done
 
@@ -317,7 +317,7 @@
         return self._call
 
     def _create_call(self, wait):
-        return StoreCall(self._clock(), wait, self._get_stall_seconds())
+        return StoreCall(self._clock(), wait, self._get_pause_total())
 
     def _mark_complete(self, as_of):
         self._answered_at = self._clock()
@@ -360,26 +360,26 @@
 
     def _mark_unavailable(self, call, why):
         """Mark the store as unavailable, unless this process was paused meanwhile."""
-        if self._get_stall_seconds() - call.stalled <= _LATE_ANSWER_S:
+        if self._get_pause_total() - call.pause_total <= _LATE_ANSWER_S:
             self._was_unavailable = True
         self._set_available(False, why)
 
     def _record_answer(self, call):
         """Log a late answer, and report a recovery if it ends an outage."""
         now = self._clock()
-        stalled = self._get_stall_seconds() - call.stalled
+        paused = self._get_pause_total() - call.pause_total
         late = now - call.started_at - call.wait
         if late > _LATE_ANSWER_S:
             self._log.note(
                 "store answered late",
                 topic=self._topic,
                 late_s=round(late, 3),
-                stalled_s=round(stalled, 3),
+                stalled_s=round(paused, 3),
             )
         # A late answer is no outage if this process was paused before reading it. An
         # upstream whose record was removed meanwhile has left, and would otherwise get
         # requests for two more seconds.
-        if self._was_unavailable or late - stalled > _LATE_ANSWER_S:
+        if self._was_unavailable or late - paused > _LATE_ANSWER_S:
             self._on_recovered(now)
         self._was_unavailable = False
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/lapsed_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/lapsed_records.py
@@ -36,7 +36,7 @@
         if self._recovered_at is None or at > self._recovered_at:
             self._recovered_at = at
 
-    def get_age(self, now):
+    def get_recovery_age(self, now):
         """Return the seconds since the store recovered, negative if it never did."""
         return -1.0 if self._recovered_at is None else now - self._recovered_at
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/topic_followers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/topic_followers.py
@@ -111,7 +111,7 @@
         data = encode_view(
             make_topic_view(followers.catalog, _get_offset(request, "catalog")),
             make_topic_view(followers.instances, _get_offset(request, "instances")),
-            state.lapsed_records.get_age(now),
+            state.lapsed_records.get_recovery_age(now),
             -1.0 if age is None else age,
             make_topic_view(followers.quarantine, _get_offset(request, "quarantine")),
         )
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -194,7 +194,7 @@
             "upstream lapsed",
             upstream=known.id,
             offset=entry.offset,
-            store_back_s=round(state.lapsed_records.get_age(now), 3),
+            store_back_s=round(state.lapsed_records.get_recovery_age(now), 3),
             used_for_s=round(until - now, 3),
         )
 
