--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
@@ -61,7 +61,7 @@
     if work.first is not None and ctx.prompt is not None:
         state.metrics.first_event_seconds.observe(work.first)
         state.metrics.expected_first_event_seconds.observe(choice.wait)
-    state.domains.record_success(choice.instance.zone)
+    state.domains.record_success(choice.instance.domain)
     if state.loads.record_success(choice.instance.id, now):
         state.log.note("upstream back", upstream=choice.instance.id)
     state.log.note(
@@ -104,7 +104,7 @@
         severe = failure.fault is Fault.NOT_SENT
         ejection_s = state.loads.record_error(instance_id, now, severe)
         if failure.status == 0:
-            state.domains.record_failure(choice.instance.zone, now)
+            state.domains.record_failure(choice.instance.domain, now)
     state.log.note(
         "send failed",
         failed=True,
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/candidates.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/candidates.py
@@ -45,7 +45,7 @@
     """Return why the chosen instance may no longer receive the request, or None."""
     if not state.directory.is_ready(instance.id):
         return "leaving"
-    if instance.zone in state.evacuations.domains:
+    if instance.domain in state.evacuations.domains:
         return "evacuated"
     if not _may_send(state, instance, now):
         return "backoff"
@@ -112,14 +112,16 @@
     if allowed is None:
         return instances
     regions = state.cfg.regions
-    return [instance for instance in instances if regions.get(instance.zone) in allowed]
+    return [
+        instance for instance in instances if regions.get(instance.domain) in allowed
+    ]
 
 
 def _drop_evacuated(state, instances):
     evacuated = state.evacuations.domains
     if not evacuated:
         return instances
-    return [instance for instance in instances if instance.zone not in evacuated]
+    return [instance for instance in instances if instance.domain not in evacuated]
 
 
 def _may_send(state, instance, now):
@@ -141,7 +143,7 @@
     )
     if unreachable:
         usable = [
-            instance for instance in usable if instance.zone not in unreachable
+            instance for instance in usable if instance.domain not in unreachable
         ] or usable
     return usable
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
@@ -23,7 +23,7 @@
 _MIN_TRANSFER_TOKENS = 500
 _MAX_HOLDERS = 4
 # Round trip of a plain call to another domain: 0.5 to 1.4 ms in each direction.
-_REMOTE_ZONE_WAIT_S = 0.002
+_REMOTE_DOMAIN_WAIT_S = 0.002
 # Multiplicative hashing: 2 ** 64 divided by the golden ratio, and odd.
 _HASH_MULTIPLIER = 0x9E3779B97F4A7C15
 _HASH_MASK = (1 << 64) - 1
@@ -162,7 +162,7 @@
     transfer = 0.0
     if source is not None:
         reason = "fetch"
-        remote = source[0].zone != instance.zone
+        remote = source[0].domain != instance.domain
         transfer = estimate_transfer(source[1] - cached, remote, engine)
         cached = source[1]
     unread = max(1, prompt.tokens - cached)
@@ -205,7 +205,10 @@
     max_tokens = better[0][1]
     return max(
         better,
-        key=lambda holder: (holder[1] == max_tokens, holder[0].zone == instance.zone),
+        key=lambda holder: (
+            holder[1] == max_tokens,
+            holder[0].domain == instance.domain,
+        ),
     )
 
 
@@ -218,7 +221,7 @@
     return _TRANSFER_BASE_S + seconds * (2.0 if remote else 1.0)
 
 
-def choose_instance(instances, loads, zone, now, rng):
+def choose_instance(instances, loads, domain, now, rng):
     """Return the `Choice` among instances of a plain service, or None.
 
     It is the instance that is expected to respond first, and among instances with free
@@ -229,7 +232,7 @@
     for instance in instances:
         load = loads.get(instance.id, now)
         utilisation = (load.active + load.remote_active) / max(1, instance.slots)
-        remote = _REMOTE_ZONE_WAIT_S if instance.zone != zone else 0.0
+        remote = _REMOTE_DOMAIN_WAIT_S if instance.domain != domain else 0.0
         wait = loads.estimate_call(load, instance.slots) + remote
         # Some instances become slower when nearly all their slots are in use.
         score = (wait + utilisation * loads.call_time, rng.random())
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
@@ -77,7 +77,7 @@
 
     def _choose_instance(self, domain):
         instances = [instance for instance in self._state.directory.get_all_ready()]
-        instances = [instance for instance in instances if instance.zone == domain]
+        instances = [instance for instance in instances if instance.domain == domain]
         return self._state.rng.choice(instances) if instances else None
 
     def _is_reachable(self, instance):
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/directory.py
@@ -23,7 +23,7 @@
     id: str
     service: str
     address: str
-    zone: str
+    domain: str
     slots: int
     ready: bool
     warming: float = 0.0
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -127,7 +127,7 @@
         now = state.clock()
         with self._lock:
             for row in state.directory.get_all_ready():
-                if row.zone == domain:
+                if row.domain == domain:
                     self._start_warm_up(
                         row, self._get_warm_time(row), "evacuation", now
                     )
@@ -147,7 +147,7 @@
             state.log.note(
                 "upstream warming",
                 upstream=instance.id,
-                upstream_domain=instance.zone,
+                upstream_domain=instance.domain,
                 source=source,
                 seconds=round(seconds, 3),
             )
