--- a/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/follower.py
@@ -29,8 +29,8 @@
     """A call of the store.
 
     ``started_at`` is the time of its start, ``wait`` the time in seconds for which the
-    store may delay the answer, and ``pause_total`` the total time in seconds for which this
-    process had been paused before the start.
+    store may delay the answer, and ``pause_total`` the total time in seconds for which
+    this process had been paused before the start.
     """
 
     started_at: float
