--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/attempts.py
@@ -216,5 +216,5 @@
 
 
 def _send_response(ctx, head, body):
-    ctx.answered = head.status
+    ctx.response_status = head.status
     ctx.reply.send(head.status, head.headers.items(), body)
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
@@ -10,7 +10,7 @@
         "_fingerprint",
         "account",
         "allowed",
-        "answered",
+        "response_status",
         "arrived",
         "view_at_send",
         "catalog",
@@ -55,7 +55,7 @@
         # request's last byte was written to the connection.
         self.view_at_send = {}
         self.last_byte_sent_at = None
-        self.answered = 0
+        self.response_status = 0
         self.last_event_id = None
         self.may_have_run = False
         self.share_status = None
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_records.py
@@ -56,10 +56,10 @@
         record_failure(state, ctx, choice, failure)
         return
     kind = ctx.route.kind.value
-    state.metrics.served.labels(kind, ctx.answered).inc()
+    state.metrics.served.labels(kind, ctx.response_status).inc()
     state.metrics.request_seconds.labels(kind).observe(now - ctx.arrived)
-    if work.first is not None and ctx.prompt is not None:
-        state.metrics.first_event_seconds.observe(work.first)
+    if work.first_data_s is not None and ctx.prompt is not None:
+        state.metrics.first_event_seconds.observe(work.first_data_s)
         state.metrics.expected_first_event_seconds.observe(choice.wait)
     state.domains.record_success(choice.instance.domain)
     if state.loads.record_success(choice.instance.id, now):
@@ -67,7 +67,7 @@
     state.log.note(
         "request served",
         id=ctx.id,
-        status=ctx.answered,
+        status=ctx.response_status,
         route=ctx.route.name,
         account=ctx.account.name if ctx.account else None,
         version=ctx.catalog.version,
@@ -80,7 +80,7 @@
         running=work.running,
         latency_target_ms=to_milliseconds(ctx.route.latency_target),
         first_sent_ms=_get_first_sent_ms(ctx),
-        first_ms=to_milliseconds(work.first or 0.0),
+        first_ms=to_milliseconds(work.first_data_s or 0.0),
         out_ms=_get_out_ms(ctx),
         sends=ctx.sends,
         took_ms=to_milliseconds(now - ctx.arrived),
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/instance_loads.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/instance_loads.py
@@ -15,7 +15,7 @@
 
     __slots__ = (
         "active",
-        "answered",
+        "responded_at",
         "call_time",
         "ejected_until",
         "errors",
@@ -35,7 +35,7 @@
         self.remote_active = 0
         self.last_activity = now
         # Time of the last response head, None if there was none.
-        self.answered = None
+        self.responded_at = None
         self.errors = 0
         self.next_ejection = INITIAL_EJECTION_S
         self.ejected_until = 0.0
@@ -49,13 +49,13 @@
     """One request at an instance, from sending it to its end.
 
     ``ahead`` is the number of unread tokens and ``running`` the number of requests that
-    were at the instance before it; ``sent`` is the time of sending and ``first`` the
-    seconds until the first data of the response.
+    were at the instance before it; ``sent`` is the time of sending and ``first_data_s``
+    the seconds until the first data of the response.
     """
 
     __slots__ = (
         "ahead",
-        "first",
+        "first_data_s",
         "instance_id",
         "is_prompt_read",
         "running",
@@ -69,5 +69,5 @@
         self.ahead = ahead
         self.running = running
         self.sent = sent
-        self.first = None
+        self.first_data_s = None
         self.is_prompt_read = False
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
@@ -188,7 +188,7 @@
         """Record that the head of a response has arrived."""
         load = self._by_id.get(instance_id)
         if load is not None:
-            load.answered = now
+            load.responded_at = now
 
     def record_progress(self, work, now):
         """Record that a part of the response has arrived."""
@@ -196,10 +196,10 @@
         load.last_activity = now
         if work.is_prompt_read:
             return
-        work.first = now - work.sent
+        work.first_data_s = now - work.sent
         with self._lock:
             self._mark_prompt_read(work, load)
-            self._update_rate(work, load, work.first)
+            self._update_rate(work, load, work.first_data_s)
 
     def finish(self, work, now):
         """Record the end of a request, with or without a response."""
--- a/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/upstreams/streams.py
@@ -65,5 +65,5 @@
 
 def _start_stream(ctx, head):
     if not ctx.reply.started:
-        ctx.answered = head.status
+        ctx.response_status = head.status
         ctx.reply.start_stream(head.status, list(head.headers.items()))
--- a/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
@@ -77,13 +77,13 @@
 
     These are the offset and age of its record and the age of its last answer.
     """
-    answered = state.loads.get(instance_id, now).answered
-    answer_age = None if answered is None else round(now - answered, 3)
+    responded_at = state.loads.get(instance_id, now).responded_at
+    response_age = None if responded_at is None else round(now - responded_at, 3)
     record = state.directory.get_record_position(instance_id)
     if record is None:
-        return {"upstream_offset": None, "upstream_answered_s": answer_age}
+        return {"upstream_offset": None, "upstream_answered_s": response_age}
     return {
-        "upstream_answered_s": answer_age,
+        "upstream_answered_s": response_age,
         "upstream_offset": record.offset,
         "upstream_known_s": round(now - record.at, 3),
     }
