--- a/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
@@ -75,7 +75,7 @@
 def describe_upstream(state, instance_id, now):
     """Return log fields on the evidence that an upstream accepts requests.
 
-    These are the offset and age of its record and the age of its last answer.
+    These are the offset and age of its record and the age of its last response.
     """
     responded_at = state.loads.get(instance_id, now).responded_at
     response_age = None if responded_at is None else round(now - responded_at, 3)
