--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
@@ -100,7 +100,7 @@
         else:
             self._queue.put(instance)
 
-    def ask_peer(self, peer, instances):
+    def list_from_peer(self, peer, instances):
         """Record the lists that a peer has; return the engines that it has none of."""
         data = self._fetch(peer.address.rpartition(":")[0])
         try:
@@ -127,7 +127,7 @@
         )
         return unknown
 
-    def ask(self, instance):
+    def list_engine(self, instance):
         """List the cache of an engine; return False if it has to be retried."""
         if self._state.directory.is_leaving(instance.id):
             # The engine gets no more requests, and a list is a request too.
@@ -169,12 +169,12 @@
             peer = choose_peer(self._state.members, self._state.clock())
             if peer is None:
                 break
-            instances = self.ask_peer(peer, instances)
+            instances = self.list_from_peer(peer, instances)
             if not instances or wait(_RETRY_INTERVAL_S):
                 return
         for instance in instances:
             for _ in range(_MAX_ENGINE_TRIES):
-                if self.ask(instance) or wait(_RETRY_INTERVAL_S):
+                if self.list_engine(instance) or wait(_RETRY_INTERVAL_S):
                     break
 
     def _run(self, stopped):
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
@@ -86,16 +86,16 @@
     backlog of the engines it determines how far prompts are spread; see `cold_caches`.
     """
     ranked = rank_instances(prompt.home or prompt.own_id, instances)
-    held = loads.count_held(prompt.shared, now)
-    holders = find_holders(held, ranked, engine)
+    cached_tokens = loads.count_cached_tokens(prompt.shared, now)
+    holders = find_holders(cached_tokens, ranked, engine)
     spread = Spread()
     if latency_target is not None:
         spread = choose_spread(loads.estimate_backlog(instances, now), latency_target)
-    uncached = prompt.tokens - prompt.own - max(held.values(), default=0)
+    uncached = prompt.tokens - prompt.own - max(cached_tokens.values(), default=0)
     evaluate = functools.partial(
         _evaluate,
         prompt,
-        held=held,
+        cached_tokens=cached_tokens,
         holders=holders,
         loads=loads,
         now=now,
@@ -153,8 +153,10 @@
     source: object
 
 
-def _evaluate(prompt, rank, instance, held, holders, loads, now, engine, home_discount):
-    cached = held.get(instance.id, 0)
+def _evaluate(
+    prompt, rank, instance, cached_tokens, holders, loads, now, engine, home_discount
+):
+    cached = cached_tokens.get(instance.id, 0)
     if rank == 0 and not loads.is_listed(instance.id):
         cached = prompt.tokens - prompt.own
     source = pick_source(instance, cached, holders) if holders else None
@@ -180,16 +182,18 @@
     return _Candidate(instance, unread, wait, alone, score, reason, source_instance)
 
 
-def find_holders(held, instances, engine):
+def find_holders(cached_tokens, instances, engine):
     """Return pairs (instance, tokens held), the most tokens first.
 
     The list is empty if engines cannot transfer parts. Only reported parts count, no
     assumed ones, since a transfer source has to hold the parts.
     """
-    if not held or engine is None or engine.link_rate <= 0.0:
+    if not cached_tokens or engine is None or engine.link_rate <= 0.0:
         return []
     holders = [
-        (instance, held[instance.id]) for instance in instances if instance.id in held
+        (instance, cached_tokens[instance.id])
+        for instance in instances
+        if instance.id in cached_tokens
     ]
     return sorted(holders, key=lambda holder: holder[1], reverse=True)[:_MAX_HOLDERS]
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
@@ -71,12 +71,12 @@
         at = self._holders_by_digest.get(get_digest(part_id), {}).get(instance_id)
         return at is not None and now - at < _CACHE_LIFETIME_S
 
-    def count_held(self, parts, now):
+    def count_cached_tokens(self, parts, now):
         """Return {instance id: tokens} of the leading parts that are probably cached.
 
         A cached part can be reused only if all parts before it are cached, too.
         """
-        held = {}
+        cached_tokens = {}
         leading = None
         oldest = now - _CACHE_LIFETIME_S
         for part in parts:
@@ -93,8 +93,10 @@
                     if holders.get(instance_id, 0.0) > oldest
                 ]
             for instance_id in leading:
-                held[instance_id] = held.get(instance_id, 0) + part.tokens
-        return held
+                cached_tokens[instance_id] = (
+                    cached_tokens.get(instance_id, 0) + part.tokens
+                )
+        return cached_tokens
 
     def is_listed(self, instance_id):
         """Return whether the cache of the instance was listed at some time."""
