--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/links.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/links.py
@@ -37,13 +37,13 @@
 
     def take_notices(self):
         """Return as many notices as one report holds; requeue those with sends left."""
-        taken = []
+        notices = []
         for _ in range(min(len(self.notices), _MAX_NOTICES_PER_REPORT)):
             notice, sends_left = self.notices.popleft()
-            taken.append(notice)
+            notices.append(notice)
             if sends_left > 1:
                 self.notices.append((notice, sends_left - 1))
-        return taken
+        return notices
 
 
 class Links:
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/reports.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/reports.py
@@ -136,5 +136,5 @@
 
 
 def _drop_smallest(rows):
-    kept = sorted(rows.items(), key=lambda item: item[1], reverse=True)
-    return dict(kept[: int(len(kept) * _KEPT_RATIO)])
+    descending = sorted(rows.items(), key=lambda item: item[1], reverse=True)
+    return dict(descending[: int(len(descending) * _KEPT_RATIO)])
--- a/packages/valeweir_gateway/src/valeweir_gateway/fleet/totals.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/fleet/totals.py
@@ -14,15 +14,15 @@
 
 def subtract_rows(total, rows):
     """Return a copy of the table less ``rows``; figures do not go below zero."""
-    left = dict(total)
+    remaining = dict(total)
     for key, (first, second) in rows.items():
-        old_first, old_second = left.get(key, (0, 0))
+        old_first, old_second = remaining.get(key, (0, 0))
         pair = (max(0, old_first - first), max(0, old_second - second))
         if any(pair):
-            left[key] = pair
+            remaining[key] = pair
         else:
-            left.pop(key, None)
-    return left
+            remaining.pop(key, None)
+    return remaining
 
 
 class Totals:
--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/headers.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/headers.py
@@ -54,7 +54,7 @@
     If they were accepted from a client, they could name nonexistent instances, leases
     and copies, or another client account.
     """
-    own = (
+    reserved = (
         names.account,
         names.expected_instance,
         names.expected_version,
@@ -64,7 +64,7 @@
         names.backup_to,
         names.resume_from,
     )
-    return frozenset(name.lower() for name in own)
+    return frozenset(name.lower() for name in reserved)
 
 
 def get_replaced_headers(names):
