--- a/packages/valeweir_standins/src/valeweir_standins/reporting.py
+++ b/packages/valeweir_standins/src/valeweir_standins/reporting.py
@@ -55,7 +55,7 @@
 def _work(wire, rng, names, accounts):
     for state in wire.states.values():
         work = state.loads.start(rng.choice(names), _TOKENS, wire.now)
-        state.loads.note_progress(work, wire.now + rng.uniform(0.0, TICK))
+        state.loads.record_progress(work, wire.now + rng.uniform(0.0, TICK))
         state.shares.count_asked_tokens(
             f"account-{rng.randrange(accounts)}", 10, wire.now
         )
