--- a/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/admission/policy.py
@@ -43,9 +43,9 @@
     target, since half of the waits turn out longer than expected. The limit is lower
     still if the account is beyond its share.
     """
-    target = state.latency_targets.note(ctx.service, ctx.route.latency_target, now)
+    target = state.latency_targets.observe(ctx.service, ctx.route.latency_target, now)
     status = get_share_status(state, ctx, now)
-    ctx.standing = status
+    ctx.share_status = status
     crowding = min(1.0, (choice.wait - choice.alone) / (_CROWDED_QUEUE_RATIO * target))
     refusal = _check_pass_rate(state, ctx, status, crowding, now)
     if refusal is not None:
@@ -146,7 +146,7 @@
 def get_oldest_report_age(state, now):
     """Return the age in seconds of the oldest report in the sums."""
     peers = state.members.get_live(now)
-    return max((now - peer.heard for peer in peers), default=0.0)
+    return max((now - peer.received_at for peer in peers), default=0.0)
 
 
 def describe_wait_inputs(state, choice, status, limit, now):
--- a/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/forwarding/request_context.py
@@ -4,13 +4,13 @@
 
 
 class RequestContext:
-    """State of one request while it is handled. Times are on the steady clock."""
+    """State of one request while it is handled. Times are on the monotonic clock."""
 
     __slots__ = (
         "_fingerprint",
         "account",
         "allowed",
-        "answered",
+        "response_status",
         "arrived",
         "view_at_send",
         "catalog",
@@ -31,7 +31,7 @@
         "sends",
         "service",
         "spent",
-        "standing",
+        "share_status",
     )
 
     def __init__(self, request, reply, catalog, arrived):
@@ -45,7 +45,7 @@
         self.prompt = None
         self.allowed = 0.0
         self.deadline = arrived
-        # Seconds that the client has spent on earlier tries of this request.
+        # Seconds that the client has spent on earlier attempts of this request.
         self.spent = 0.0
         self.service = None
         self.excluded = set()
@@ -55,10 +55,10 @@
         # request's last byte was written to the connection.
         self.view_at_send = {}
         self.last_byte_sent_at = None
-        self.answered = 0
+        self.response_status = 0
         self.last_event_id = None
         self.may_have_run = False
-        self.standing = None
+        self.share_status = None
         # Random number for admission. The lowest value admits a request for which none
         # was drawn.
         self.draw = 0.0
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/caches.py
@@ -20,8 +20,8 @@
 CACHES_PATH = "/fleet/caches"
 _RETRY_INTERVAL_S = 0.5
 _MAX_ENGINE_TRIES = 3
-# More tries than at an engine, since the first gateway of the domain may have started
-# at the same time and may still be listing engines.
+# More attempts than at an engine, since the first gateway of the domain may have
+# started at the same time and may still be listing engines.
 _MAX_PEER_TRIES = 8
 _PEER_TIMEOUT_S = 1.0
 
@@ -100,7 +100,7 @@
         else:
             self._queue.put(instance)
 
-    def ask_peer(self, peer, instances):
+    def list_from_peer(self, peer, instances):
         """Record the lists that a peer has; return the engines that it has none of."""
         data = self._fetch(peer.address.rpartition(":")[0])
         try:
@@ -127,8 +127,8 @@
         )
         return unknown
 
-    def ask(self, instance):
-        """List the cache of an engine; return False if it has to be tried again."""
+    def list_engine(self, instance):
+        """List the cache of an engine; return False if it has to be retried."""
         if self._state.directory.is_leaving(instance.id):
             # The engine gets no more requests, and a list is a request too.
             return True
@@ -169,12 +169,12 @@
             peer = choose_peer(self._state.members, self._state.clock())
             if peer is None:
                 break
-            instances = self.ask_peer(peer, instances)
+            instances = self.list_from_peer(peer, instances)
             if not instances or wait(_RETRY_INTERVAL_S):
                 return
         for instance in instances:
             for _ in range(_MAX_ENGINE_TRIES):
-                if self.ask(instance) or wait(_RETRY_INTERVAL_S):
+                if self.list_engine(instance) or wait(_RETRY_INTERVAL_S):
                     break
 
     def _run(self, stopped):
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/choice.py
@@ -23,7 +23,7 @@
 _MIN_TRANSFER_TOKENS = 500
 _MAX_HOLDERS = 4
 # Round trip of a plain call to another domain: 0.5 to 1.4 ms in each direction.
-_REMOTE_ZONE_WAIT_S = 0.002
+_REMOTE_DOMAIN_WAIT_S = 0.002
 # Multiplicative hashing: 2 ** 64 divided by the golden ratio, and odd.
 _HASH_MULTIPLIER = 0x9E3779B97F4A7C15
 _HASH_MASK = (1 << 64) - 1
@@ -86,16 +86,16 @@
     backlog of the engines it determines how far prompts are spread; see `cold_caches`.
     """
     ranked = rank_instances(prompt.home or prompt.own_id, instances)
-    held = loads.count_held(prompt.shared, now)
-    holders = find_holders(held, ranked, engine)
+    cached_tokens = loads.count_cached_tokens(prompt.shared, now)
+    holders = find_holders(cached_tokens, ranked, engine)
     spread = Spread()
     if latency_target is not None:
         spread = choose_spread(loads.estimate_backlog(instances, now), latency_target)
-    uncached = prompt.tokens - prompt.own - max(held.values(), default=0)
+    uncached = prompt.tokens - prompt.own - max(cached_tokens.values(), default=0)
     evaluate = functools.partial(
         _evaluate,
         prompt,
-        held=held,
+        cached_tokens=cached_tokens,
         holders=holders,
         loads=loads,
         now=now,
@@ -153,8 +153,10 @@
     source: object
 
 
-def _evaluate(prompt, rank, instance, held, holders, loads, now, engine, home_discount):
-    cached = held.get(instance.id, 0)
+def _evaluate(
+    prompt, rank, instance, cached_tokens, holders, loads, now, engine, home_discount
+):
+    cached = cached_tokens.get(instance.id, 0)
     if rank == 0 and not loads.is_listed(instance.id):
         cached = prompt.tokens - prompt.own
     source = pick_source(instance, cached, holders) if holders else None
@@ -162,7 +164,7 @@
     transfer = 0.0
     if source is not None:
         reason = "fetch"
-        remote = source[0].zone != instance.zone
+        remote = source[0].domain != instance.domain
         transfer = estimate_transfer(source[1] - cached, remote, engine)
         cached = source[1]
     unread = max(1, prompt.tokens - cached)
@@ -180,16 +182,18 @@
     return _Candidate(instance, unread, wait, alone, score, reason, source_instance)
 
 
-def find_holders(held, instances, engine):
+def find_holders(cached_tokens, instances, engine):
     """Return pairs (instance, tokens held), the most tokens first.
 
     The list is empty if engines cannot transfer parts. Only reported parts count, no
     assumed ones, since a transfer source has to hold the parts.
     """
-    if not held or engine is None or engine.link_rate <= 0.0:
+    if not cached_tokens or engine is None or engine.link_rate <= 0.0:
         return []
     holders = [
-        (instance, held[instance.id]) for instance in instances if instance.id in held
+        (instance, cached_tokens[instance.id])
+        for instance in instances
+        if instance.id in cached_tokens
     ]
     return sorted(holders, key=lambda holder: holder[1], reverse=True)[:_MAX_HOLDERS]
 
@@ -205,7 +209,10 @@
     max_tokens = better[0][1]
     return max(
         better,
-        key=lambda holder: (holder[1] == max_tokens, holder[0].zone == instance.zone),
+        key=lambda holder: (
+            holder[1] == max_tokens,
+            holder[0].domain == instance.domain,
+        ),
     )
 
 
@@ -218,7 +225,7 @@
     return _TRANSFER_BASE_S + seconds * (2.0 if remote else 1.0)
 
 
-def choose_instance(instances, loads, zone, now, rng):
+def choose_instance(instances, loads, domain, now, rng):
     """Return the `Choice` among instances of a plain service, or None.
 
     It is the instance that is expected to respond first, and among instances with free
@@ -229,7 +236,7 @@
     for instance in instances:
         load = loads.get(instance.id, now)
         utilisation = (load.active + load.remote_active) / max(1, instance.slots)
-        remote = _REMOTE_ZONE_WAIT_S if instance.zone != zone else 0.0
+        remote = _REMOTE_DOMAIN_WAIT_S if instance.domain != domain else 0.0
         wait = loads.estimate_call(load, instance.slots) + remote
         # Some instances become slower when nearly all their slots are in use.
         score = (wait + utilisation * loads.call_time, rng.random())
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/domains.py
@@ -25,7 +25,7 @@
         self._lock = threading.Lock()
         self._failed_at = {}
 
-    def note_failure(self, domain, now):
+    def record_failure(self, domain, now):
         """Record that an instance of the domain could not be reached."""
         if domain != self._own:
             with self._lock:
@@ -77,7 +77,7 @@
 
     def _choose_instance(self, domain):
         instances = [instance for instance in self._state.directory.get_all_ready()]
-        instances = [instance for instance in instances if instance.zone == domain]
+        instances = [instance for instance in instances if instance.domain == domain]
         return self._state.rng.choice(instances) if instances else None
 
     def _is_reachable(self, instance):
@@ -95,6 +95,6 @@
         if reachable:
             state.domains.record_success(domain)
         else:
-            state.domains.note_failure(domain, state.clock())
+            state.domains.record_failure(domain, state.clock())
         if was_unreachable == reachable:
             state.log.note("domain probed", probed=domain, reachable=reachable)
--- a/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/placement/loads.py
@@ -71,12 +71,12 @@
         at = self._holders_by_digest.get(get_digest(part_id), {}).get(instance_id)
         return at is not None and now - at < _CACHE_LIFETIME_S
 
-    def count_held(self, parts, now):
+    def count_cached_tokens(self, parts, now):
         """Return {instance id: tokens} of the leading parts that are probably cached.
 
         A cached part can be reused only if all parts before it are cached, too.
         """
-        held = {}
+        cached_tokens = {}
         leading = None
         oldest = now - _CACHE_LIFETIME_S
         for part in parts:
@@ -93,8 +93,10 @@
                     if holders.get(instance_id, 0.0) > oldest
                 ]
             for instance_id in leading:
-                held[instance_id] = held.get(instance_id, 0) + part.tokens
-        return held
+                cached_tokens[instance_id] = (
+                    cached_tokens.get(instance_id, 0) + part.tokens
+                )
+        return cached_tokens
 
     def is_listed(self, instance_id):
         """Return whether the cache of the instance was listed at some time."""
@@ -188,18 +190,18 @@
         """Record that the head of a response has arrived."""
         load = self._by_id.get(instance_id)
         if load is not None:
-            load.answered = now
+            load.responded_at = now
 
-    def note_progress(self, work, now):
+    def record_progress(self, work, now):
         """Record that a part of the response has arrived."""
         load = self.get(work.instance_id, now)
         load.last_activity = now
         if work.is_prompt_read:
             return
-        work.first = now - work.sent
+        work.first_data_s = now - work.sent
         with self._lock:
             self._mark_prompt_read(work, load)
-            self._update_rate(work, load, work.first)
+            self._update_rate(work, load, work.first_data_s)
 
     def finish(self, work, now):
         """Record the end of a request, with or without a response."""
--- a/packages/valeweir_gateway/src/valeweir_gateway/states.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/states.py
@@ -79,7 +79,7 @@
         self.reads = Reads()
         self.intake = IntakeQueue(clock)
         self.latency_targets = RecentLatencyTargets()
-        self.patience = ClientDeadlines()
+        self.client_deadlines = ClientDeadlines()
         self.pressure = ProcessorPressure(log)
         self.overload = OverloadDetector(log)
         self.pause_detector = PauseDetector(clock, log.note)
@@ -102,7 +102,7 @@
         self.shares = Shares(self.usage, cfg.sharing)
         self.backoffs = Backoffs()
         self.connections = Connections(clock)
-        self.endings = UpstreamExits(clock, self.connections.keep)
+        self.upstream_exits = UpstreamExits(clock, self.connections.keep)
         self.suspects = Suspects()
         self.quarantine = Quarantine()
         self.quarantine_offset = 0
@@ -168,7 +168,7 @@
             self._inflight += 1
 
     def leave(self):
-        """Count a request as answered."""
+        """Count a request as no longer in flight."""
         with self._lock:
             self._inflight -= 1
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view/views.py
@@ -127,7 +127,7 @@
         now = state.clock()
         with self._lock:
             for row in state.directory.get_all_ready():
-                if row.zone == domain:
+                if row.domain == domain:
                     self._start_warm_up(
                         row, self._get_warm_time(row), "evacuation", now
                     )
@@ -142,12 +142,12 @@
         if seconds <= 0.0:
             return
         state.timers.subscribe("warm-up", None, self.end_warm_ups, seconds)
-        if state.slow_start.note(instance.id, now + seconds, now):
+        if state.slow_start.mark_warming(instance.id, now + seconds, now):
             state.metrics.warm_ups.labels(source).inc()
             state.log.note(
                 "upstream warming",
                 upstream=instance.id,
-                upstream_domain=instance.zone,
+                upstream_domain=instance.domain,
                 source=source,
                 seconds=round(seconds, 3),
             )
@@ -194,7 +194,7 @@
             "upstream lapsed",
             upstream=known.id,
             offset=entry.offset,
-            store_back_s=round(state.lapsed_records.get_age(now), 3),
+            store_back_s=round(state.lapsed_records.get_recovery_age(now), 3),
             used_for_s=round(until - now, 3),
         )
 
--- a/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/view_source.py
@@ -11,7 +11,7 @@
 
     ``begin`` and ``end`` are the end offsets of the view before and after the update.
     ``source`` is `STORE` or the host of a peer. ``is_listing`` is true for a listing of
-    all keys and false for a batch of changes. ``at`` is on the steady clock.
+    all keys and false for a batch of changes. ``at`` is on the monotonic clock.
     """
 
     begin: int
@@ -75,15 +75,15 @@
 def describe_upstream(state, instance_id, now):
     """Return log fields on the evidence that an upstream accepts requests.
 
-    These are the offset and age of its record and the age of its last answer.
+    These are the offset and age of its record and the age of its last response.
     """
-    answered = state.loads.get(instance_id, now).answered
-    answer_age = None if answered is None else round(now - answered, 3)
+    responded_at = state.loads.get(instance_id, now).responded_at
+    response_age = None if responded_at is None else round(now - responded_at, 3)
     record = state.directory.get_record_position(instance_id)
     if record is None:
-        return {"upstream_offset": None, "upstream_answered_s": answer_age}
+        return {"upstream_offset": None, "upstream_answered_s": response_age}
     return {
-        "upstream_answered_s": answer_age,
+        "upstream_answered_s": response_age,
         "upstream_offset": record.offset,
         "upstream_known_s": round(now - record.at, 3),
     }
