--- a/packages/valeweir_standins/src/valeweir_standins/faults.py
+++ b/packages/valeweir_standins/src/valeweir_standins/faults.py
@@ -39,7 +39,7 @@
             self.faults = msgspec.json.decode(request.body, type=Faults)
         reply.send_json(200, self.faults)
 
-    def happens(self, probability):
+    def should_inject(self, probability):
         """Return whether a fault of this probability strikes now."""
         if probability <= 0:
             return False
--- a/packages/valeweir_standins/src/valeweir_standins/reporting.py
+++ b/packages/valeweir_standins/src/valeweir_standins/reporting.py
@@ -8,8 +8,8 @@
 
 from .wires import TICK, Wire
 
-_WARM_SECONDS = 2.0
-_TOKENS = 3_700
+_WARM_UP_S = 2.0
+_REQUEST_TOKENS = 3_700
 
 
 class ReportCosts(NamedTuple):
@@ -41,27 +41,27 @@
     for state in wire.states.values():
         for name in names:
             state.directory.put(Instance(name, "llm", f"{name}:1", "d0", 16, True))
-    wire.run(_WARM_SECONDS)
+    wire.run(_WARM_UP_S)
     for fleet in wire.fleets.values():
         fleet.sent_bytes = 0
     started = time.process_time()
     for _ in range(round(seconds / TICK)):
-        _work(wire, rng, names, accounts)
+        _generate_load(wire, rng, names, accounts)
         wire.run(TICK)
-    spent = time.process_time() - started
-    return _sum_up(wire, seconds, spent)
+    cpu_s = time.process_time() - started
+    return _compute_costs(wire, seconds, cpu_s)
 
 
-def _work(wire, rng, names, accounts):
+def _generate_load(wire, rng, names, accounts):
     for state in wire.states.values():
-        work = state.loads.start(rng.choice(names), _TOKENS, wire.now)
+        work = state.loads.start(rng.choice(names), _REQUEST_TOKENS, wire.now)
         state.loads.record_progress(work, wire.now + rng.uniform(0.0, TICK))
         state.shares.count_asked_tokens(
             f"account-{rng.randrange(accounts)}", 10, wire.now
         )
 
 
-def _sum_up(wire, seconds, spent):
+def _compute_costs(wire, seconds, cpu_s):
     fleets = list(wire.fleets.values())
     relays = [fleet for fleet in fleets if fleet.plan.is_relay]
     rates = [fleet.sent_bytes / seconds for fleet in fleets]
@@ -71,5 +71,5 @@
         sum(rates) / len(rates),
         max(fleet.sent_bytes / seconds for fleet in relays),
         max(fleet.count_links() for fleet in fleets),
-        1000.0 * spent / seconds / len(fleets),
+        1000.0 * cpu_s / seconds / len(fleets),
     )
