--- a/packages/valeweir_standins/src/valeweir_standins/__init__.py
+++ b/packages/valeweir_standins/src/valeweir_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of what the fleet talks to, and the load that drives it."""
+"""Stand-ins for upstreams and platform services, a load generator and benchmarks."""
--- a/packages/valeweir_standins/src/valeweir_standins/experiments.py
+++ b/packages/valeweir_standins/src/valeweir_standins/experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: a scenario run on a rig, and the figures that come of it."""
+"""Runs a scenario on a local fleet and computes its results."""
 
 import threading
 import time
@@ -16,7 +16,7 @@
 
 
 class Setup(NamedTuple):
-    """What an experiment is run with."""
+    """Parameters of an experiment."""
 
     scenario: str
     deployment: object
@@ -28,7 +28,7 @@
 
 
 class Sampler:
-    """Reads the engines' busy time and the open requests, at intervals."""
+    """Samples the engines' busy time and the number of open requests."""
 
     def __init__(self, rig, load, names):
         self._rig = rig
@@ -45,7 +45,7 @@
         self._thread.start()
 
     def stop(self):
-        """End sampling."""
+        """Stop sampling and wait for the thread to end."""
         self._stopped.set()
         self._thread.join()
 
@@ -58,13 +58,17 @@
             self.samples.append((now, busy, self._load.outstanding))
 
     def _add_busy_time(self, name, now):
-        """Add up an engine's busy time; one that is down or new adds nothing."""
+        """Add the growth of an engine's busy time since the previous sample.
+
+        An engine that is unreachable or was restarted adds nothing.
+        """
         try:
             stats = self._rig.get_json(self._rig.upstreams[name].address, "/stats")
         except (HTTPError, ValueError):
             self._last.pop(name, None)
             return
-        # Each engine counts up to its own reading time.
+        # An engine reports its busy time up to its own clock reading ``at``;
+        # extrapolate it to this sample's time.
         busy = stats["busy_time"] - stats["busy"] * (stats["at"] - now)
         increase = busy - self._last.get(name, busy)
         self._busy[name] = self._busy.get(name, 0.0) + max(0.0, increase)
@@ -72,7 +76,7 @@
 
 
 def run_experiment(setup, on_progress=lambda done: None):
-    """Run a scenario; return its figures as a JSON-ready dict."""
+    """Run a scenario and return its results as a dict that can be encoded as JSON."""
     scenario = get_scenario(setup.scenario)
     deployment = setup.deployment
     with Rig(
@@ -183,7 +187,7 @@
             try:
                 metrics_by_host[host] = rig.get_metrics(host)
             except HTTPError:
-                # A frozen or freshly killed router has no figures to give.
+                # A suspended or recently killed router does not respond.
                 continue
     return metrics_by_host
 
@@ -234,7 +238,7 @@
 
 
 def _get_thirds(results, samples, slots, window):
-    """Return rate and utilisation before, during and after a disturbance."""
+    """Return the rate and utilisation before, during and after a disturbance."""
     begin, until = window
     rows = []
     for number in range(3):
@@ -253,7 +257,7 @@
 
 
 def _get_curve(results, weights, started, step=1.0):
-    """Return service per weight by account, summed, once a second."""
+    """Return each account's cumulative service per weight, one value per second."""
     if not results:
         return {}
     last = max(e.ended for e in results) - started
--- a/packages/valeweir_standins/src/valeweir_standins/paths.py
+++ b/packages/valeweir_standins/src/valeweir_standins/paths.py
@@ -1,4 +1,4 @@
-"""What a router adds to a call: latency, rate, memory of waiting callers."""
+"""Measures a router's overhead: latency, request rate and memory of waiting callers."""
 
 import statistics
 import threading
@@ -21,7 +21,7 @@
 
 
 def measure_path():
-    """Return the figures of one router before one engine, as a dict."""
+    """Return the overhead of one router in front of one engine, as a dict."""
     with Rig(_make_deployment(slots=64), token_time=0.0) as rig:
         result = _measure_latency(rig)
         unary = _measure_rate(rig, RequestMix(WorkClass.CHAT, 2, 0.1))
@@ -47,7 +47,7 @@
 
 
 def _measure_latency(rig):
-    """Time the same call directly and through the router, in turn."""
+    """Measure latency by turns directly and through the router."""
     load = Load("llm", "", [], [])
     mix = RequestMix(WorkClass.CHAT, 2, 0.1)
     times = {}
@@ -89,7 +89,7 @@
 
 
 def _measure_waiting(rig):
-    """Return KiB of the router's memory per caller that waits."""
+    """Return the number of waiting callers and the router's KiB for each."""
     process = rig.routers["path-1"]
     before = get_memory_kb(process.popen.pid)
     pool = urllib3.HTTPConnectionPool(
--- a/packages/valeweir_standins/src/valeweir_standins/procfs.py
+++ b/packages/valeweir_standins/src/valeweir_standins/procfs.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of another process, from /proc."""
+"""Reads the processor time and memory of another process from /proc."""
 
 import os
 from pathlib import Path
--- a/packages/valeweir_standins/src/valeweir_standins/relays.py
+++ b/packages/valeweir_standins/src/valeweir_standins/relays.py
@@ -1,4 +1,4 @@
-"""TCP relays between failure domains, so that links can be cut either way."""
+"""TCP relays between failure domains, whose links can be cut in either direction."""
 
 import socket
 import threading
@@ -7,9 +7,9 @@
 
 
 class Relay:
-    """Passes connections on to one address; what it carries can be stopped.
+    """Forwards connections to one address unless the link is cut.
 
-    Cut links swallow bytes in silence, as a dropped route does.
+    A cut link discards bytes without closing connections, as a lost route does.
     """
 
     def __init__(self, target, is_blocked):
@@ -21,7 +21,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self):
-        """Accept no more connections."""
+        """Stop accepting connections."""
         self._sock.close()
 
     def _accept(self):
@@ -60,20 +60,26 @@
 
 
 class NetworkPartition:
-    """Which domains cannot reach which, and the relays that obey it."""
+    """The pairs of domains whose links are cut, and the relays between domains."""
 
     def __init__(self):
         self.blocked = set()
         self._relays = []
 
     def make_relay(self, source, sink, target):
-        """Return the address at which domain ``source`` reaches ``target``."""
+        """Return the address of a new relay from domain ``source`` to ``target``.
+
+        ``sink`` is the domain of ``target``.
+        """
         relay = Relay(target, lambda: (source, sink) in self.blocked)
         self._relays.append(relay)
         return relay.address
 
     def isolate(self, domain, domains, one_way=False):
-        """Cut a domain off from the others; ``one_way``: it hears but is not."""
+        """Cut a domain's links to the others.
+
+        With ``one_way``, the domain still receives but cannot send.
+        """
         for other in domains:
             if other != domain:
                 self.blocked.add((domain, other))
@@ -81,7 +87,7 @@
                     self.blocked.add((other, domain))
 
     def heal(self):
-        """Let everything through again."""
+        """Restore all links."""
         self.blocked.clear()
 
     def close(self):
--- a/packages/valeweir_standins/src/valeweir_standins/reporting.py
+++ b/packages/valeweir_standins/src/valeweir_standins/reporting.py
@@ -1,4 +1,4 @@
-"""What the exchange of reports costs a gateway, by the size of the fleet."""
+"""Measures a gateway's cost of exchanging reports by the size of the fleet."""
 
 import random
 import time
@@ -13,9 +13,9 @@
 
 
 class ReportCosts(NamedTuple):
-    """Costs of one gateway; bytes and processor milliseconds are a second's.
+    """The costs of one gateway; bytes and processor milliseconds are per second.
 
-    Sent bytes are those of datagrams; the processor's time holds receiving.
+    The bytes are those of sent datagrams; the processor time includes receiving.
     """
 
     gateways: int
@@ -27,12 +27,12 @@
 
 
 def measure_reports(gateways, domains, engines, accounts, seconds=2.0, seed=1):
-    """Return the `ReportCosts` of a fleet in which every gateway has news.
+    """Return the `ReportCosts` of a fleet in which every gateway has new loads.
 
     Parameters
     ----------
     engines, accounts : int
-        Of the whole fleet; each gateway uses eight of both at a time.
+        Number in the whole fleet; each gateway uses eight of both at a time.
     """
     rng = random.Random(seed)
     wire = Wire(domains, gateways)
