--- a/packages/valeweir_standins/src/valeweir_standins/deployments.py
+++ b/packages/valeweir_standins/src/valeweir_standins/deployments.py
@@ -67,7 +67,9 @@
     ]
 
 
-def _make(name, partner, domains, model, service, accounts, routers, engines):
+def _make_deployment(
+    name, partner, domains, model, service, accounts, routers, engines
+):
     router_specs = [
         RouterSpec(f"{domains[i % len(domains)]}-{i // len(domains) + 1}", d)
         for i in range(routers)
@@ -101,7 +103,7 @@
             "bonded-store pilot-station ferry-yard tally-clerks night-gate"
         ).split()
         domains = ["kidderpore", "garden-reach", "haldia"]
-        return _make(
+        return _make_deployment(
             "hooghly",
             "hooghly-berth-ledger",
             domains,
@@ -118,7 +120,7 @@
             "island-link night-desk lost-found crew-roster season-pass"
         ).split()
         domains = ["hall-sentral", "hall-ipoh", "hall-gemas"]
-        return _make(
+        return _make_deployment(
             "kat",
             "kereta-amanah",
             domains,
