--- a/packages/valeweir_standins/src/valeweir_standins/fairness.py
+++ b/packages/valeweir_standins/src/valeweir_standins/fairness.py
@@ -50,7 +50,7 @@
 
     Parameters
     ----------
-    tries : list of Try
+    attempts : list of `Try`
     span : int
         Length in seconds of the spans to check.
     """
--- a/packages/valeweir_standins/src/valeweir_standins/platform.py
+++ b/packages/valeweir_standins/src/valeweir_standins/platform.py
@@ -13,7 +13,7 @@
     """Return a server that behaves as the log service.
 
     ``POST /append`` returns ``{"offset": N}``. ``GET /records?from=N`` returns
-    ``[first_offset, next, [[offset, body], ...]]``. ``POST /expire`` with
+    ``[first, next, [[offset, body], ...]]``. ``POST /expire`` with
     ``{"before": N}`` deletes older records.
     """
     records = []
