--- a/packages/valeweir_standins/src/valeweir_standins/fairness.py
+++ b/packages/valeweir_standins/src/valeweir_standins/fairness.py
@@ -19,7 +19,7 @@
 _TOLERATED_REQUEST_COUNT = 3
 
 
-class Try(NamedTuple):
+class Attempt(NamedTuple):
     """One request of an account.
 
     ``at`` is its arrival time in seconds and ``cost`` is in tokens. ``begun`` is
@@ -50,7 +50,7 @@
 
     Parameters
     ----------
-    attempts : list of `Try`
+    attempts : list of `Attempt`
     span : int
         Length in seconds of the spans to check.
     """
