--- a/packages/valeweir_cli/src/valeweir_cli/bench.py
+++ b/packages/valeweir_cli/src/valeweir_cli/bench.py
@@ -4,12 +4,12 @@
 
 import click
 from tqdm import tqdm
+from valeweir_standins.control_costs import Size, measure
 from valeweir_standins.deployments import get_deployment
 from valeweir_standins.experiments import Setup, run_experiment
-from valeweir_standins.paths import measure_path
 from valeweir_standins.reporting import measure_reports
+from valeweir_standins.router_overheads import measure_path
 from valeweir_standins.scenarios import SCENARIOS
-from valeweir_standins.slopes import Size, measure
 
 _VIOLATION_STATUS = 1
 
--- a/packages/valeweir_standins/src/valeweir_standins/experiments.py
+++ b/packages/valeweir_standins/src/valeweir_standins/experiments.py
@@ -6,8 +6,8 @@
 
 from urllib3.exceptions import HTTPError
 
-from .figures import compute_fairness_gap, compute_utilisation, count_breaches
 from .loads import Load
+from .measurements import compute_fairness_gap, compute_utilisation, count_breaches
 from .rigs import Rig
 from .scenarios import get_scenario
 
