--- a/packages/valeweir_gateway/src/valeweir_gateway/transport/socket_waits.py
+++ b/packages/valeweir_gateway/src/valeweir_gateway/transport/socket_waits.py
@@ -17,7 +17,7 @@
 
     Parameters
     ----------
-    until : float
+    deadline : float
         Time at which the wait ends, on the event loop's clock, which never goes back.
     client : object
         Has ``is_disconnected`` and ``watch``, such as `replies.Reply`.
--- a/packages/valeweir_sharing/src/valeweir_sharing/leases.py
+++ b/packages/valeweir_sharing/src/valeweir_sharing/leases.py
@@ -182,7 +182,7 @@
         Number of slots that may be leased out at once.
     epoch : int
         Number of the epoch; higher than that of any earlier owner.
-    settled_at : float
+    recovery_ends_at : float
         End of recovery: the time from which all leases of earlier epochs have
         run out, so that slots not claimed by their holders are free.
     """
